--- a/packages/edge/src/tallyhall_edge/__init__.py
+++ b/packages/edge/src/tallyhall_edge/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 servers and clients of an entry instance, in one asyncio loop."""
+"""HTTP/1.1 server and client of an entry instance, in one event loop."""
--- a/packages/edge/src/tallyhall_edge/caller_connection.py
+++ b/packages/edge/src/tallyhall_edge/caller_connection.py
@@ -1,10 +1,10 @@
-"""One caller's connection: requests are read and answered in turn.
+"""Server side of a caller's connection: requests are handled in turn.
 
-A connection carries one request at a time; requests that a caller sends
-ahead wait in the connection. The handler of a request is a task that is
-cancelled as soon as its caller leaves, so that no upstream goes on working
-for nobody. Reading therefore never stops while a request is being handled:
-the end of the connection would not be seen.
+A connection handles one request at a time; pipelined requests are queued. The
+handler of a request is a task that is cancelled as soon as its caller
+disconnects, so that no upstream keeps working on an answer that nobody reads.
+The connection therefore keeps reading while a request is handled; otherwise a
+disconnect would not be detected.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
 import httptools
 import msgspec
 
-from .exchange import Exchange, Respond
+from .exchange import Exchange, RequestHandler
 from .messages import RequestHead, find
 
-# Requests that a caller may send ahead before it is no longer read from.
-_MOST_AHEAD = 8
-# Bytes of unsent answer in the process at which an upstream is paused.
-_WRITE_HIGH_BYTES = 65_536
-# A peer that acknowledges nothing for this long is gone, in milliseconds.
+# Pipelined requests that may be queued before reading is paused.
+_MAX_PIPELINED = 8
+# Size of the write buffer at which reading from the upstream is paused.
+_WRITE_HIGH_WATER_BYTES = 65_536
+# Milliseconds without acknowledgement after which a peer counts as dead.
 _USER_TIMEOUT_MS = 5000
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
-_OLD_HTTP = '1.0'
+# HTTP version without chunked encoding.
+_OLD_VERSION = '1.0'
 _BAD_REQUEST = (400, b'Bad Request')
 _TIMED_OUT = (408, b'Request Timeout')
 _TOO_LARGE = (413, b'Content Too Large')
@@ -36,9 +37,9 @@
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
-    """Bounds on one connection, in bytes and seconds.
+    """Limits of one connection, in bytes and seconds.
 
-    body_s: longest time between the head of a request and its last byte.
+    body_s: maximum time between the head of a request and its last byte.
     """
 
     header_bytes: int = 16_384
@@ -49,141 +50,146 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """The part of the server that a connection uses."""
 
     @property
     def limits(self) -> ServerLimits:
-        """Return the bounds in force."""
+        """Return the limits of a connection."""
 
     @property
     def stopping(self) -> bool:
-        """Return whether connections end after the request they carry."""
+        """Return whether connections close after their current request."""
 
     @property
-    def respond(self) -> Respond:
-        """Return what answers a request."""
+    def respond(self) -> RequestHandler:
+        """Return the handler of requests."""
 
     @property
     def failed(self) -> Callable[[Exception], None]:
-        """Return what takes exceptions that must not happen."""
+        """Return the handler of unexpected exceptions."""
 
     def add(self, conn: ServerConnection) -> bool:
-        """Know a new connection; return whether there is room for it."""
+        """Register a connection; return False if there are too many."""
 
     def discard(self, conn: ServerConnection) -> None:
-        """Forget a connection."""
+        """Unregister a connection."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection."""
+    """The protocol of one caller's connection."""
 
     def __init__(self, server: ConnectionOwner) -> None:
-        """Belong to a server."""
-        self.speaks_chunks = True
+        """Create the protocol of a connection to this server."""
+        self.supports_chunked = True
         self._server = server
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._ahead: collections.deque[Exchange] = collections.deque()
+        self._pipelined: collections.deque[Exchange] = collections.deque()
         self._current: Exchange | None = None
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._keeps = True
-        self._refused: tuple[int, bytes] | None = None
+        self._keep_alive = True
+        self._rejection: tuple[int, bytes] | None = None
         self._began_at: float = 0
         self._reset_message()
 
     # -- transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to wait for a request."""
+        """Register the connection and wait for a request."""
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
-        transport.set_write_buffer_limits(_WRITE_HIGH_BYTES)
+        transport.set_write_buffer_limits(_WRITE_HIGH_WATER_BYTES)
         sock = transport.get_extra_info('socket')
         if sock is not None:
-            _limit_silence(sock)
+            _set_user_timeout(sock)
         if not self._server.add(self):
-            # Requests in hand need descriptors of their own, for upstreams.
+            # Requests in progress need file descriptors for their upstreams.
             self.abort()
             return
-        self._wait_idle()
+        self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End whatever was done for this caller."""
+        """Cancel the current request and drop the queued ones."""
         self._stop_timer()
         self._server.discard(self)
         self._transport = None
-        self._ahead.clear()
+        self._pipelined.clear()
         if self._task is not None:
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """Take that the caller closed its side: it has left."""
+        """Close the connection: a half-closed one counts as a disconnect."""
         return False
 
     def pause_writing(self) -> None:
-        """Hold the upstream back while the caller does not read."""
-        self._tell_writable(writable=False)
+        """Pause the upstream while the caller does not read."""
+        self._notify_writable(writable=False)
 
     def resume_writing(self) -> None:
-        """Let the upstream go on."""
-        self._tell_writable(writable=True)
+        """Resume the upstream."""
+        self._notify_writable(writable=True)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
-        if not self._keeps and self._current is None:
+        """Parse received bytes."""
+        if not self._keep_alive and self._current is None:
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._refuse(*_BAD_REQUEST)
-        if len(self._ahead) > _MOST_AHEAD and self._transport is not None:
+            self._reject(*_BAD_REQUEST)
+        if (
+            len(self._pipelined) > _MAX_PIPELINED
+            and self._transport is not None
+        ):
             self._transport.pause_reading()
 
     # -- parser
 
     def on_message_begin(self) -> None:
-        """Start the time that a caller has for its head."""
+        """Start a request and the timeout of its head."""
         self._reset_message()
         self._began_at = self._loop.time()
         if self._current is None:
-            self._arm(self._server.limits.header_s, self._too_slow)
+            self._start_timer(
+                self._server.limits.header_s, self._on_read_timeout
+            )
 
     def on_url(self, url: bytes) -> None:
-        """Add to the target."""
+        """Append to the request target, which may come in parts."""
         self._target += url
-        self._count_head(len(url))
+        self._add_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header."""
+        """Store a header and check the size of the head."""
         self._headers.append((name, value))
-        self._count_head(len(name) + len(value))
+        self._add_head_bytes(len(name) + len(value))
 
     def on_headers_complete(self) -> None:
-        """Give the caller time for the body."""
+        """Start the timeout of the body; handle `Expect: 100-continue`."""
         if self._current is None:
-            self._arm(self._server.limits.body_s, self._too_slow)
+            self._start_timer(self._server.limits.body_s, self._on_read_timeout)
         headers = tuple(self._headers)
-        expects = find(headers, b'expect')
-        if expects is not None and expects.lower() == b'100-continue':
-            self._owes_continue = True
-            self._tell_to_continue()
+        expectation = find(headers, b'expect')
+        if expectation is not None and expectation.lower() == b'100-continue':
+            self._continue_pending = True
+            self._send_continue()
 
     def on_body(self, body: bytes) -> None:
-        """Add to the body."""
+        """Append to the body and check its size."""
         self._body_bytes += len(body)
         if self._body_bytes > self._server.limits.body_bytes:
-            self._refuse(*_TOO_LARGE)
+            self._reject(*_TOO_LARGE)
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Take the whole request."""
-        if self._refused is not None:
+        """Queue a completely received request."""
+        if self._rejection is not None:
             return
         parser = self._parser
-        self.speaks_chunks = parser.get_http_version() != _OLD_HTTP
+        self.supports_chunked = parser.get_http_version() != _OLD_VERSION
         head = RequestHead(
             parser.get_method(),
             self._target,
@@ -192,50 +198,50 @@
         exchange = Exchange(self, head, b''.join(self._body), self._began_at)
         exchange.keep_alive = parser.should_keep_alive()
         self._reset_message()
-        self._ahead.append(exchange)
-        self._next()
+        self._pipelined.append(exchange)
+        self._start_next()
 
-    # -- for exchanges
+    # -- used by exchanges
 
     def write(self, payload: bytes) -> None:
-        """Send bytes, or drop them if the caller has left."""
+        """Send bytes, or drop them if the caller has disconnected."""
         if self._transport is not None:
             self._transport.write(payload)
 
     def failed(self, exc: Exception) -> None:
-        """Tell of what must not happen."""
+        """Report an unexpected exception."""
         self._server.failed(exc)
 
-    def may_keep(self) -> bool:
-        """Return whether the connection may carry another request."""
-        return self._keeps and not self._server.stopping
+    def can_keep_alive(self) -> bool:
+        """Return whether the connection may be kept for another request."""
+        return self._keep_alive and not self._server.stopping
 
     def finished(self, *, keep: bool) -> None:
-        """Go on with the next request, or close."""
+        """Handle the next request, or close the connection."""
         self._current = None
         self._task = None
         if not keep:
-            self._keeps = False
-            self._ahead.clear()
+            self._keep_alive = False
+            self._pipelined.clear()
             self.close()
             return
         if self._transport is not None:
             self._transport.resume_reading()
-        if self._ahead:
-            self._next()
+        if self._pipelined:
+            self._start_next()
             return
-        self._tell_to_continue()
-        self._wait_idle()
+        self._send_continue()
+        self._start_idle_timer()
 
     def abort(self) -> None:
         """Reset the connection."""
-        self._keeps = False
+        self._keep_alive = False
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
-        self._keeps = False
+        """Close after the write buffer has been sent."""
+        self._keep_alive = False
         self._stop_timer()
         if self._transport is not None:
             self._transport.close()
@@ -244,20 +250,21 @@
     def busy(self) -> bool:
         """Return whether a request is being read, handled or answered.
 
-        What was written is lost with the process until the kernel has it.
+        Bytes in the write buffer count as well: they would be lost if the
+        process ended before the kernel took them.
         """
         transport = self._transport
         if transport is not None and transport.get_write_buffer_size():
             return True
         return self._current is not None or bool(self._began_at)
 
-    # -- inner steps
+    # -- internals
 
-    def _next(self) -> None:
-        if self._current is not None or not self._ahead:
+    def _start_next(self) -> None:
+        if self._current is not None or not self._pipelined:
             return
         self._stop_timer()
-        self._current = self._ahead.popleft()
+        self._current = self._pipelined.popleft()
         self._task = self._loop.create_task(self._run(self._current))
 
     async def _run(self, exchange: Exchange) -> None:
@@ -279,40 +286,41 @@
         self._head_bytes = 0
         self._body_bytes = 0
         self._began_at = 0
-        self._owes_continue = False
+        self._continue_pending = False
 
-    def _tell_to_continue(self) -> None:
-        # Behind the answer under way; in it, it would be a part of it.
-        if self._owes_continue and self._current is None:
-            self._owes_continue = False
+    def _send_continue(self) -> None:
+        # An interim response written during an answer would become part of it.
+        if self._continue_pending and self._current is None:
+            self._continue_pending = False
             self.write(_CONTINUE)
 
-    def _count_head(self, size: int) -> None:
+    def _add_head_bytes(self, size: int) -> None:
         self._head_bytes += size
         if self._head_bytes > self._server.limits.header_bytes:
-            self._refuse(*_HEAD_TOO_LARGE)
+            self._reject(*_HEAD_TOO_LARGE)
 
-    def _refuse(self, status: int, reason: bytes) -> None:
-        """Answer a request that was not read whole, and close."""
-        if self._refused is not None:
+    def _reject(self, status: int, reason: bytes) -> None:
+        """Answer a request that could not be read, and close."""
+        if self._rejection is not None:
             return
-        self._refused = (status, reason)
-        self._keeps = False
+        self._rejection = (status, reason)
+        self._keep_alive = False
         if self._current is not None:
             return
         exchange = Exchange(self, RequestHead(b'', b'', ()), b'', 0)
         exchange.keep_alive = False
         exchange.answer(status, reason, (), b'')
 
-    def _too_slow(self) -> None:
-        self._refuse(*_TIMED_OUT)
+    def _on_read_timeout(self) -> None:
+        self._reject(*_TIMED_OUT)
 
-    def _wait_idle(self) -> None:
-        # A stopping server still takes what callers have sent or are sending
-        # on open connections; the answer then tells them to leave.
-        self._arm(self._server.limits.idle_s, self.close)
+    def _start_idle_timer(self) -> None:
+        # A stopping server still handles requests that callers have sent or are
+        # sending on open connections; `Connection: close` in the answer then
+        # tells them to reconnect elsewhere.
+        self._start_timer(self._server.limits.idle_s, self.close)
 
-    def _arm(self, delay: float, action: Callable[[], None]) -> None:
+    def _start_timer(self, delay: float, action: Callable[[], None]) -> None:
         self._stop_timer()
         self._timer = self._loop.call_later(delay, action)
 
@@ -321,13 +329,13 @@
             self._timer.cancel()
             self._timer = None
 
-    def _tell_writable(self, *, writable: bool) -> None:
+    def _notify_writable(self, *, writable: bool) -> None:
         current = self._current
         if current is not None and current.on_writable is not None:
             current.on_writable(writable)
 
 
-def _limit_silence(sock: socket.socket) -> None:
+def _set_user_timeout(sock: socket.socket) -> None:
     sock.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
--- a/packages/edge/src/tallyhall_edge/client.py
+++ b/packages/edge/src/tallyhall_edge/client.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 towards upstreams and the store: one request at a time.
+"""HTTP/1.1 client for upstreams and the store: one request at a time.
 
-A connection is kept only after an answer that was complete to the byte,
-with nothing behind it and with the whole request written. An upstream may
-send a second answer late, where the next one is expected; its echoed
-request id tells, so answers to other requests are skipped.
+A connection is reused only if the whole request was written and the response
+was complete, with no bytes after it. An upstream may send a second response
+late, when the next one is expected; the echoed request id reveals this, and
+responses to other requests are skipped.
 """
 
 from __future__ import annotations
@@ -15,39 +15,45 @@
 
 import httptools
 
-from .errors import BadMessageError, BrokenError, LostError, NotSentError
+from .errors import (
+    BadMessageError,
+    BrokenError,
+    ConnectionLostError,
+    NotSentError,
+)
 from .messages import Headers, ResponseHead, find
 
-# A peer that acknowledges nothing for this long is gone, in milliseconds.
+# Milliseconds without acknowledgement after which a peer counts as dead.
 _USER_TIMEOUT_MS = 3000
-# Silent connections are probed after a second, and given up after three.
-_PROBE_OPTIONS = (
+# Idle connections are probed after one second and dropped after three failed
+# probes, one second apart.
+_KEEPALIVE_OPTIONS = (
     (socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
     (socket.TCP_KEEPIDLE, 1),
     (socket.TCP_KEEPINTVL, 1),
     (socket.TCP_KEEPCNT, 3),
 )
-_FIRST_FINAL = 200
+_MIN_FINAL_STATUS = 200
 
 
-class AnswerSink(Protocol):
-    """Takes one answer as it comes."""
+class ResponseSink(Protocol):
+    """Receives one response as it arrives."""
 
     def on_head(self, head: ResponseHead) -> None:
-        """Take the head."""
+        """Handle the head."""
 
     def on_data(self, payload: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
 
     def on_end(self, exc: BrokenError | None) -> None:
-        """Take that the answer is complete, or why it is not."""
+        """Handle the end: `exc` is None if the response is complete."""
 
 
 class ClientConnection(asyncio.Protocol):
     """One connection to an upstream."""
 
     def __init__(self, id_header: bytes = b'') -> None:
-        """Echoed request ids stand in this lower-case header."""
+        """Expect echoed request ids in this lower-case header."""
         self.reusable = False
         self.idle_since: float = 0
         self.keep_s: float | None = None
@@ -55,7 +61,7 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._sink: AnswerSink | None = None
+        self._sink: ResponseSink | None = None
         self._expected_id = b''
         self._tainted = False
         self._skipping = False
@@ -73,7 +79,7 @@
         timeout_s: float,
         id_header: bytes = b'',
     ) -> ClientConnection:
-        """Connect; raise NotSentError."""
+        """Connect within the timeout; raise NotSentError."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout_s):
@@ -88,10 +94,10 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether the connection still stands."""
+        """Return whether the connection is open and in a known state."""
         return self._transport is not None and not self._tainted
 
-    def send(self, raw: bytes, sink: AnswerSink, expected_id: bytes) -> None:
+    def send(self, raw: bytes, sink: ResponseSink, expected_id: bytes) -> None:
         """Write a request; raise NotSentError on a closed connection."""
         if self._transport is None or self._transport.is_closing():
             raise NotSentError('the connection is closed')
@@ -101,26 +107,26 @@
         self._transport.write(raw)
 
     def pause(self) -> None:
-        """Read no more until `resume`."""
+        """Pause reading until `resume` is called."""
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if self._transport is not None:
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """End the connection now; an answer under way is given up."""
+        """Abort the connection and abandon the current response."""
         self._sink = None
         self.reusable = False
         self._tainted = True
         if self._transport is not None:
-            # A reset tells the upstream at once that nobody reads on.
+            # A reset tells the upstream at once that nobody reads its response.
             self._transport.abort()
 
     def fail(self, exc: BrokenError) -> None:
-        """End the connection now; an answer under way ends as broken."""
+        """Abort the connection; the current response ends with this error."""
         self._tainted = True
         self._end(exc)
         self.close()
@@ -128,7 +134,7 @@
     # -- transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and bound the silence of its peer."""
+        """Store the transport and enable the detection of dead peers."""
         assert isinstance(transport, asyncio.Transport)  # noqa: S101
         self._transport = transport
         sock = transport.get_extra_info('socket')
@@ -136,25 +142,29 @@
             return
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            for option, limit in _PROBE_OPTIONS:
+            for option, limit in _KEEPALIVE_OPTIONS:
                 sock.setsockopt(socket.IPPROTO_TCP, option, limit)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the answer under way."""
+        """End the current response.
+
+        A response without a stated length is complete when the peer closes
+        the connection; any other one is lost.
+        """
         self._transport = None
         self.reusable = False
-        ends_here = self._in_body and not self._framed and exc is None
-        if ends_here and not self._skipping:
+        closes_body = self._in_body and not self._framed and exc is None
+        if closes_body and not self._skipping:
             self._end(None)
             return
-        self._end(LostError(f'closed by the peer: {exc!r}'))
+        self._end(ConnectionLostError(f'closed by the peer: {exc!r}'))
 
     def eof_received(self) -> bool:
-        """Close our side too."""
+        """Close this side too."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that nobody asked for spoil it."""
+        """Parse received bytes; close if no response is expected."""
         if self._sink is None:
             self.close()
             return
@@ -162,51 +172,51 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             self._tainted = True
-            self._end(BadMessageError(f'no answer in the protocol: {exc!r}'))
+            self._end(BadMessageError(f'malformed response: {exc!r}'))
             self.close()
 
     # -- parser
 
     def on_message_begin(self) -> None:
-        """Start an answer, or see bytes behind the last one."""
+        """Start a response, or detect bytes after the last one."""
         self._headers = []
         self._reason = b''
         if self._sink is None:
             self._tainted = True
 
     def on_status(self, status: bytes) -> None:
-        """Add to the reason phrase."""
+        """Append to the reason phrase, which may come in parts."""
         self._reason += status
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header."""
+        """Store a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on if it answers our request."""
+        """Pass the head to the sink if it answers the current request."""
         if self._sink is None:
             return
         status = self._parser.get_status_code()
-        self._interim = status < _FIRST_FINAL
+        self._interim = status < _MIN_FINAL_STATUS
         if self._interim:
             return
         head = ResponseHead(status, self._reason, tuple(self._headers))
         self._in_body = True
         self._framed = _is_framed(head)
-        self._note_keeping(head.headers)
-        self._skipping = self._is_for_other(head.headers)
+        self._read_keep_alive(head.headers)
+        self._skipping = self._answers_other_request(head.headers)
         if self._skipping:
             self._tainted = True
             return
         self._sink.on_head(head)
 
     def on_body(self, body: bytes) -> None:
-        """Pass a part of the body on."""
+        """Pass a part of the body to the sink."""
         if self._sink is not None and not self._skipping:
             self._sink.on_data(body)
 
     def on_message_complete(self) -> None:
-        """End the answer."""
+        """End the response and decide whether the connection is reusable."""
         if self._interim:
             self._interim = False
             return
@@ -221,11 +231,11 @@
         )
         self._end(None)
 
-    # -- inner steps
+    # -- internals
 
     def _has_written_all(self) -> bool:
-        # An upstream may answer before it has read the whole request; the
-        # rest of the request must not be followed by another one.
+        # An upstream may answer before it has read the whole request; no other
+        # request may be written behind the unsent rest.
         transport = self._transport
         if transport is None or transport.is_closing():
             return False
@@ -238,18 +248,18 @@
         if sink is not None:
             sink.on_end(exc)
 
-    def _is_for_other(self, headers: Headers) -> bool:
+    def _answers_other_request(self, headers: Headers) -> bool:
         echoed = find(headers, self._id_header)
         if not self._expected_id or echoed is None:
             return False
         return echoed != self._expected_id
 
-    def _note_keeping(self, headers: Headers) -> None:
+    def _read_keep_alive(self, headers: Headers) -> None:
         self.keep_s = None
-        stated = find(headers, b'keep-alive')
-        if stated is None:
+        keep_alive = find(headers, b'keep-alive')
+        if keep_alive is None:
             return
-        for part in stated.split(b','):
+        for part in keep_alive.split(b','):
             name, _, text = part.strip().partition(b'=')
             if name.lower() == b'timeout' and text.isdigit():
                 self.keep_s = int(text)
--- a/packages/edge/src/tallyhall_edge/connections.py
+++ b/packages/edge/src/tallyhall_edge/connections.py
@@ -1,9 +1,10 @@
-"""Connections to upstreams, by incarnation: kept ones and those in use.
+"""Connection pool for upstreams, by incarnation.
 
-A kept connection saves the upstream a set-up, but it may have died without
-a sign. What cannot be sent twice therefore takes only connections used a
-moment ago. One that starts again at the same address is another incarnation,
-and what was said on connections to the one before has no answer any more.
+A kept connection saves connection setup, but it may have died unnoticed.
+Requests that must not be sent twice therefore use only connections that were
+in use a moment ago. An upstream that restarts at the same address is another
+incarnation; requests sent on connections to the previous one are never
+answered.
 """
 
 from __future__ import annotations
@@ -14,23 +15,24 @@
 from tallyhall_dispatch.desired import Upstream
 
 from .client import ClientConnection
-from .errors import LostError
+from .errors import ConnectionLostError
 
-# An upstream that states no time keeps idle connections for seconds; half
-# of the shortest time stated is never reached.
-_UNSTATED_KEEP_S = 2.0
-_KEEP_PART = 0.5
-# Connections kept for one upstream.
-_MOST_KEPT = 16
+# Upstreams that state no timeout keep idle connections for several seconds.
+# Connections are used for only half of a stated timeout, so that the upstream
+# does not close them first.
+_DEFAULT_KEEP_S = 2.0
+_KEEP_FRACTION = 0.5
+# Maximum idle connections per upstream.
+_MAX_IDLE_CONNECTIONS = 16
 
 
 class ConnectionPool:
-    """Opens, keeps and gives out connections."""
+    """Opens, keeps and reuses connections to upstreams."""
 
-    def __init__(self, id_header: bytes, connect_s: float) -> None:
-        """Wait at most `connect_s` for a new connection."""
+    def __init__(self, id_header: bytes, connect_timeout_s: float) -> None:
+        """Create an empty pool that connects within `connect_timeout_s`."""
         self._id_header = id_header
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
         self._idle: dict[str, collections.deque[ClientConnection]] = {}
         self._busy: dict[str, set[ClientConnection]] = {}
         self._loop = asyncio.get_running_loop()
@@ -38,22 +40,22 @@
     async def take(self, upstream: Upstream, idle_s: float) -> ClientConnection:
         """Return a connection idle for at most `idle_s`, or a new one.
 
-        Raises NotSentError where no connection can be had.
+        Raises NotSentError if no connection can be opened.
         """
         incarnation = upstream.incarnation
-        conn = self._kept(incarnation, idle_s)
+        conn = self._pop_idle(incarnation, idle_s)
         if conn is None:
             conn = await ClientConnection.open(
                 upstream.host,
                 upstream.port,
-                self._connect_s,
+                self._connect_timeout_s,
                 self._id_header,
             )
         self._busy.setdefault(incarnation, set()).add(conn)
         return conn
 
     def give_back(self, upstream: Upstream, conn: ClientConnection) -> None:
-        """Keep a connection if it can carry another request."""
+        """Keep a connection if it is reusable, else close it."""
         incarnation = upstream.incarnation
         busy = self._busy.get(incarnation, set())
         busy.discard(conn)
@@ -65,29 +67,29 @@
         conn.idle_since = self._loop.time()
         kept = self._idle.setdefault(incarnation, collections.deque())
         kept.append(conn)
-        if len(kept) > _MOST_KEPT:
+        if len(kept) > _MAX_IDLE_CONNECTIONS:
             kept.popleft().close()
 
     def drop(self, incarnation: str) -> None:
-        """Close all kept connections to one that takes no new requests."""
+        """Close the idle connections to one that takes no new requests."""
         for conn in self._idle.pop(incarnation, ()):
             conn.close()
 
     def end(self, incarnation: str) -> None:
-        """Break off what is asked of an incarnation that has ended."""
+        """Fail the requests in flight to an incarnation that has ended."""
         self.drop(incarnation)
         for conn in tuple(self._busy.get(incarnation, ())):
-            conn.fail(LostError('the upstream has started again'))
+            conn.fail(ConnectionLostError('the upstream has restarted'))
 
     def close_old(self) -> None:
-        """Close what has been idle for too long to be used again."""
+        """Close connections that have been idle for too long to be reused."""
         for incarnation, kept in tuple(self._idle.items()):
-            while kept and not self._is_usable(kept[0], _UNSTATED_KEEP_S):
+            while kept and not self._is_usable(kept[0], _DEFAULT_KEEP_S):
                 kept.popleft().close()
             if not kept:
                 self._idle.pop(incarnation)
 
-    def _kept(
+    def _pop_idle(
         self,
         incarnation: str,
         idle_s: float,
@@ -103,7 +105,7 @@
     def _is_usable(self, conn: ClientConnection, idle_s: float) -> bool:
         if not conn.reusable or not conn.is_open:
             return False
-        keep_s = _UNSTATED_KEEP_S
+        keep_s = _DEFAULT_KEEP_S
         if conn.keep_s is not None:
-            keep_s = conn.keep_s * _KEEP_PART
+            keep_s = conn.keep_s * _KEEP_FRACTION
         return self._loop.time() - conn.idle_since < min(keep_s, idle_s)
--- a/packages/edge/src/tallyhall_edge/dialect.py
+++ b/packages/edge/src/tallyhall_edge/dialect.py
@@ -1,7 +1,7 @@
-"""What a request's way needs to know of the headers on the wire.
+"""Interface between request handling and the headers on the wire.
 
-Names of headers and the form of refusals differ between interfaces; the
-steps of a request do not. Each interface implements `Dialect`.
+Header names and the format of refusals differ between interfaces; the steps
+of handling a request do not. Each interface implements `Dialect`.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 class CallInfo(msgspec.Struct, frozen=True):
-    """What a caller's headers say.
+    """The values of a caller's headers.
 
-    deadline_s: how long the caller waits, counted from its first byte; None
-    if it does not say. output_tokens: the most tokens of the answer, 0 for
-    requests that state no tokens. last_event: the event after which a
-    resumed stream goes on.
+    deadline_s: how long the caller waits, counted from the first byte of its
+    request; None if not stated. output_tokens: maximum tokens of the answer, 0
+    for requests that state no tokens. last_event: number of the event after
+    which a resumed stream continues.
     """
 
     request_id: bytes
@@ -37,12 +37,12 @@
 
     @property
     def id_text(self) -> str:
-        """Return the request id as logs show it."""
+        """Return the request id as text for logs."""
         return self.request_id.decode('latin-1')
 
 
 class SendInfo(msgspec.Struct, frozen=True):
-    """What is added to a request on its way to one upstream."""
+    """The values that are added to the headers sent to an upstream."""
 
     left_s: float
     upstream: str
@@ -51,14 +51,15 @@
 
 
 class AnswerInfo(msgspec.Struct, frozen=True):
-    """What the head of an upstream's answer says.
+    """The values of the head of an upstream's answer.
 
     proven: it carries the upstream's signature. not_executed: the upstream
-    states that it did not run the request. leaving: it takes no new work.
-    rest_s: seconds for which it wants nothing from this instance, 0 for none.
-    limit_per_s: requests a second that it takes from all instances together,
-    None if it names no limit. unread: names of headers that say something of
-    the upstream and that nothing here reads.
+    states that it did not run the request. misplaced: another upstream has
+    taken over the address. leaving: the upstream takes no new requests.
+    rest_s: backoff in seconds that it asks of this instance, 0 for none.
+    limit_per_s: requests per second that it accepts from all instances
+    together, None if it states no limit. unread: names of headers about the
+    upstream that this version does not interpret.
     """
 
     proven: bool
@@ -71,14 +72,14 @@
     unread: tuple[str, ...] = ()
 
     @property
-    def says_anything(self) -> bool:
-        """Return whether the upstream says how it wants to be treated."""
-        said_limit = self.limit_per_s is not None
-        return self.leaving or self.rest_s > 0 or said_limit
+    def has_upstream_status(self) -> bool:
+        """Return whether the upstream is leaving, backing off or limited."""
+        has_limit = self.limit_per_s is not None
+        return self.leaving or self.rest_s > 0 or has_limit
 
 
 class OwnAnswer(msgspec.Struct, frozen=True):
-    """An answer of this instance."""
+    """An answer that this instance generates itself."""
 
     status: int
     reason: bytes
@@ -92,7 +93,7 @@
     id_header: bytes
 
     def call(self, head: RequestHead) -> CallInfo:
-        """Return what a request says; raise BadCallError."""
+        """Parse the headers of a request; raise BadCallError."""
 
     def upstream_headers(
         self,
@@ -103,7 +104,7 @@
         """Return the headers of a request for one upstream."""
 
     def answer(self, head: ResponseHead) -> AnswerInfo:
-        """Return what the head of an answer says."""
+        """Parse the head of an upstream's answer."""
 
     def refusal(self, refusal: Refusal) -> OwnAnswer:
-        """Return a refusal as this interface sends it."""
+        """Encode a refusal for this interface."""
--- a/packages/edge/src/tallyhall_edge/ends.py
+++ b/packages/edge/src/tallyhall_edge/ends.py
@@ -1,8 +1,8 @@
-"""Tells the end of an upstream from a connection that was lost.
+"""Distinguishes a terminated upstream from a lost connection.
 
-Connections are reset, cut and go silent while their upstreams run on. Only
-where nothing listens any more right after a connection was lost has the
-upstream ended.
+Connections may be reset, cut or fall silent while their upstream keeps
+running. An upstream counts as terminated only if its address refuses
+connections right after a connection to it was lost.
 """
 
 from __future__ import annotations
@@ -16,62 +16,64 @@
 from .client import ClientConnection
 from .errors import NotSentError
 
-# The connections of a process that ends are lost within milliseconds of each
-# other, in seconds.
-_GATHER_S = 0.005
-# An upstream refuses or accepts at once; one that does neither may be cut off,
-# and its requests do not wait for longer.
-_CONNECT_S = 0.2
+# Delay before an upstream is probed, in seconds. The connections of a process
+# that terminates are lost within milliseconds of each other; the delay collects
+# all of them.
+_COLLECT_S = 0.005
+# Timeout of a probe, in seconds. An upstream host refuses or accepts at once;
+# one that does neither may be unreachable, and its requests must not wait
+# longer than this.
+_CONNECT_TIMEOUT_S = 0.2
 
-OnEnd = Callable[[Upstream, tuple[EndedRun, ...]], None]
+EndCallback = Callable[[Upstream, tuple[EndedRun, ...]], None]
 
 
 class EndProbe:
-    """Looks at upstreams on which requests lost their connections."""
+    """Probes upstreams whose connections were lost during requests."""
 
-    def __init__(self, on_end: OnEnd) -> None:
-        """Call `on_end` for an upstream that has ended, with what it ran."""
+    def __init__(self, on_end: EndCallback) -> None:
+        """Call `on_end` with a terminated upstream and the runs it had."""
         self._on_end = on_end
-        # What was lost at each upstream that is being looked at.
+        # Interrupted runs of each upstream that is being probed.
         self._lost: dict[str, list[EndedRun]] = {}
-        self._looks: dict[str, asyncio.Task[None]] = {}
+        self._probes: dict[str, asyncio.Task[None]] = {}
 
     def lost(self, upstream: Upstream, run: EndedRun) -> None:
-        """Take that the connection of a run was lost."""
+        """Record a run whose connection was lost and probe its upstream."""
         incarnation = upstream.incarnation
         self._lost.setdefault(incarnation, []).append(run)
-        if incarnation in self._looks:
+        if incarnation in self._probes:
             return
-        look = asyncio.create_task(self._look(upstream))
-        self._looks[incarnation] = look
+        probe = asyncio.create_task(self._probe(upstream))
+        self._probes[incarnation] = probe
 
     async def settle(self, content: str) -> None:
-        """Wait until it is known whether an upstream has ended under it."""
-        looks = [
-            self._looks[incarnation]
+        """Wait for the probes of all upstreams that ran this content."""
+        probes = [
+            self._probes[incarnation]
             for incarnation, runs in self._lost.items()
             if any(run.content == content for run in runs)
         ]
-        if looks:
-            await asyncio.wait(looks)
+        if probes:
+            await asyncio.wait(probes)
 
-    async def _look(self, upstream: Upstream) -> None:
-        await asyncio.sleep(_GATHER_S)
+    async def _probe(self, upstream: Upstream) -> None:
+        await asyncio.sleep(_COLLECT_S)
         has_ended = await _refuses(upstream)
         incarnation = upstream.incarnation
         runs = tuple(dict.fromkeys(self._lost.pop(incarnation)))
-        self._looks.pop(incarnation)
+        self._probes.pop(incarnation)
         if has_ended:
             self._on_end(upstream, runs)
 
 
 async def _refuses(upstream: Upstream) -> bool:
-    """Return whether nothing listens at the address of an upstream."""
+    """Return whether the address of an upstream refuses connections."""
     try:
         conn = await ClientConnection.open(
             upstream.host,
             upstream.port,
-            _CONNECT_S,
+            _CONNECT_TIMEOUT_S,
         )
     except NotSentError as exc:
         return isinstance(exc.__cause__, ConnectionRefusedError)
--- a/packages/edge/src/tallyhall_edge/errors.py
+++ b/packages/edge/src/tallyhall_edge/errors.py
@@ -1,4 +1,4 @@
-"""Errors of connections; what is known about the request is in the type."""
+"""Connection errors; the type tells whether the request may have run."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class NotSentError(EdgeError):
-    """The request did not leave: no upstream can have read it."""
+    """The request was not sent: no upstream can have read it."""
 
 
-class RestingError(NotSentError):
-    """The upstream wants nothing from this instance for a while."""
+class BackoffError(NotSentError):
+    """The upstream asked this instance to send nothing for some time."""
 
 
 class BrokenError(EdgeError):
     """The connection failed after the request was written."""
 
 
-class LostError(BrokenError):
-    """The connection ended while the request ran."""
+class ConnectionLostError(BrokenError):
+    """The connection was lost while the request ran."""
 
 
-class EndedError(EdgeError):
-    """Something was asked of an exchange that has ended."""
+class ExchangeEndedError(EdgeError):
+    """An operation was called on an exchange that has ended."""
 
 
 class BadMessageError(BrokenError):
-    """The upstream sent bytes that are no answer."""
+    """The upstream sent a malformed or oversized response."""
--- a/packages/edge/src/tallyhall_edge/events.py
+++ b/packages/edge/src/tallyhall_edge/events.py
@@ -1,7 +1,7 @@
-"""Event streams (text/event-stream), split into whole events.
+"""Splits event streams (text/event-stream) into complete events.
 
-Only whole events are passed on: an upstream that breaks off in the middle
-of one leaves nothing of it behind.
+Only complete events are forwarded: if an upstream breaks off in the middle of
+an event, the caller receives no part of it.
 """
 
 from __future__ import annotations
@@ -10,40 +10,43 @@
 
 _ID_FIELD = b'id:'
 _SEPARATOR = b'\n\n'
-# An event larger than this is no event; bytes.
+# Maximum size of an event in bytes; a larger one makes the stream invalid.
 MAX_EVENT_BYTES = 1_048_576
 
 
 class BadEventError(Exception):
-    """The stream holds something that is no event."""
+    """The stream contains an invalid event."""
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One event with its bytes as they came; `number` None without an id."""
+    """One event with its bytes as received.
+
+    number: the event id, None if it has none.
+    """
 
     raw: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Cuts a stream of bytes into events."""
+    """Incremental parser that splits a byte stream into events."""
 
     def __init__(self) -> None:
-        """Start with nothing held."""
+        """Start without buffered bytes."""
         self._held = b''
 
     @property
     def held(self) -> bytes:
-        """Return the bytes of an event that has not ended yet."""
+        """Return the bytes of an incomplete event."""
         return self._held
 
     def feed(self, payload: bytes) -> list[StreamEvent]:
-        """Return the events that end in these bytes; raise BadEventError."""
+        """Return the events completed by these bytes; raise BadEventError."""
         held = self._held + payload
         whole = held.split(_SEPARATOR)
         self._held = whole.pop()
         if len(self._held) > MAX_EVENT_BYTES:
-            raise BadEventError('an event without end')
+            raise BadEventError(f'event exceeds {MAX_EVENT_BYTES} bytes')
         return [_event(raw) for raw in whole]
 
 
@@ -54,6 +57,6 @@
             continue
         text = line[len(_ID_FIELD) :].strip()
         if not text.isdigit():
-            raise BadEventError(f'event id {text!r} is no number')
+            raise BadEventError(f'event id {text!r} is not a number')
         number = int(text)
     return StreamEvent(raw + _SEPARATOR, number)
--- a/packages/edge/src/tallyhall_edge/exchange.py
+++ b/packages/edge/src/tallyhall_edge/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller, and the way to answer it."""
+"""An HTTP exchange: one request of a caller and its response."""
 
 from __future__ import annotations
 
@@ -6,50 +6,54 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from .errors import EndedError
+from .errors import ExchangeEndedError
 from .messages import LAST_CHUNK, Headers, RequestHead, chunk, head_bytes
 
 
-class AnswerConnection(Protocol):
-    """What an exchange needs of its connection."""
+class ExchangeConnection(Protocol):
+    """The part of a connection that an exchange uses."""
 
-    speaks_chunks: bool
+    supports_chunked: bool
 
     def write(self, payload: bytes) -> None:
-        """Send bytes, or drop them if the caller has left."""
+        """Send bytes, or drop them if the caller has disconnected."""
 
-    def may_keep(self) -> bool:
-        """Return whether the connection may carry another request."""
+    def can_keep_alive(self) -> bool:
+        """Return whether the connection may be kept for another request."""
 
     def finished(self, *, keep: bool) -> None:
-        """Go on with the next request, or close."""
+        """Handle the next request, or close the connection."""
 
     def abort(self) -> None:
         """Reset the connection."""
 
     def failed(self, exc: Exception) -> None:
-        """Tell of what must not happen."""
+        """Report an unexpected exception."""
 
 
 class Exchange:
-    """One request and the way to answer it.
+    """One request and the operations that write its response.
 
-    Once it has ended, its connection may carry the next request. Whatever is
-    asked of it then is not done, only told to the server's `failed`.
+    Once an exchange has ended, its connection may carry the next request.
+    Operations that are called after that have no effect and are reported to the
+    server's `failed`.
     """
 
     def __init__(
         self,
-        conn: AnswerConnection,
+        conn: ExchangeConnection,
         head: RequestHead,
         body: bytes,
         received_at: float,
     ) -> None:
-        """Belong to a connection; `received_at` is the first byte's time."""
+        """Create the exchange of a request.
+
+        received_at: when the first byte of the request was received.
+        """
         self.head = head
         self.body = body
         self.received_at = received_at
-        # When the first byte was written, None before.
+        # When the head of the response was written, None before.
         self.started_at: float | None = None
         self.ended = False
         self.keep_alive = True
@@ -59,7 +63,7 @@
 
     @property
     def started(self) -> bool:
-        """Return whether a part of the answer was written."""
+        """Return whether a part of the response was written."""
         return self.started_at is not None
 
     def start(
@@ -69,19 +73,19 @@
         headers: Headers,
         length: int | None,
     ) -> None:
-        """Send the head; a length of None means that it is not known."""
-        if self._is_over('start'):
+        """Send the head; a length of None means an unknown length."""
+        if self._report_if_ended('start'):
             return
         self.started_at = asyncio.get_running_loop().time()
         framing: list[tuple[bytes, bytes]] = []
-        if length is None and self._conn.speaks_chunks:
+        if length is None and self._conn.supports_chunked:
             self._chunked = True
             framing.append((b'Transfer-Encoding', b'chunked'))
         elif length is None:
             self.keep_alive = False
         else:
             framing.append((b'Content-Length', b'%d' % length))
-        if not (self.keep_alive and self._conn.may_keep()):
+        if not (self.keep_alive and self._conn.can_keep_alive()):
             self.keep_alive = False
             framing.append((b'Connection', b'close'))
         line = b'HTTP/1.1 %d %b' % (status, reason)
@@ -89,14 +93,14 @@
 
     def write(self, payload: bytes) -> None:
         """Send a part of the body."""
-        if self._is_over('write'):
+        if self._report_if_ended('write'):
             return
         if payload:
             self._conn.write(chunk(payload) if self._chunked else payload)
 
     def finish(self) -> None:
-        """End the answer as complete."""
-        if self._is_over('finish'):
+        """Complete the response."""
+        if self._report_if_ended('finish'):
             return
         if self._chunked:
             self._conn.write(LAST_CHUNK)
@@ -110,24 +114,26 @@
         headers: Headers,
         body: bytes,
     ) -> None:
-        """Send a whole answer."""
-        if self._is_over('answer'):
+        """Send a complete response."""
+        if self._report_if_ended('answer'):
             return
         self.start(status, reason, headers, len(body))
         self.write(body)
         self.finish()
 
     def abort(self) -> None:
-        """Break the connection off, so that the answer looks incomplete."""
-        if self._is_over('abort'):
+        """Reset the connection, so that the response is seen as incomplete."""
+        if self._report_if_ended('abort'):
             return
         self.ended = True
         self._conn.abort()
 
-    def _is_over(self, asked: str) -> bool:
+    def _report_if_ended(self, operation: str) -> bool:
         if self.ended:
-            self._conn.failed(EndedError(f'{asked} after the end'))
+            self._conn.failed(
+                ExchangeEndedError(f'{operation} called after the end'),
+            )
         return self.ended
 
 
-Respond = Callable[[Exchange], Awaitable[None]]
+RequestHandler = Callable[[Exchange], Awaitable[None]]
--- a/packages/edge/src/tallyhall_edge/guard.py
+++ b/packages/edge/src/tallyhall_edge/guard.py
@@ -1,4 +1,4 @@
-"""What keeps a request from upstreams that may end under it."""
+"""Interface for the quarantine of requests that may crash upstreams."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Permit(msgspec.Struct, frozen=True):
-    """Leave to send a request once.
+    """Permission to send a request once.
 
-    ends: how many ends of upstreams it was at. is_trial: no other like it runs
-    anywhere until it is released.
+    ends: how many upstreams ended while they ran the same content. is_trial: no
+    other request with this content runs on any instance until it is released.
     """
 
     ends: int
@@ -21,29 +21,29 @@
 
 
 class Guard(Protocol):
-    """Knows which requests may end upstreams, by what they ask."""
+    """Tracks by content which requests may crash upstreams."""
 
     def check(self, content: str) -> int:
-        """Return at how many ends a request was.
+        """Return how many upstreams ended while they ran this content.
 
-        Raises RefusedError where it is given up for now.
+        Raises RefusedError if it is quarantined for now.
         """
 
     async def permit(self, content: str) -> Permit:
-        """Let a request run once; raise RefusedError."""
+        """Return a permit for one send; raise RefusedError."""
 
     def answered(self, content: str) -> None:
-        """Take that a request was answered with success."""
+        """Record that a request was answered successfully."""
 
     def lost(self, content: str, permit: Permit, upstream: Upstream) -> None:
-        """Take that the connection ended on which a request ran."""
+        """Record that the connection of a running request was lost."""
 
     def release(self, content: str) -> None:
-        """Take that a trial is over."""
+        """Release the permit of a trial."""
 
 
 def given_up_error(content: str, wait_s: float) -> RefusedError:
-    """Return the refusal of a request that may end another upstream."""
+    """Return the refusal of a request that may crash another upstream."""
     refusal = Refusal.of(
         Reason.quarantined,
         retry_after=wait_s,
--- a/packages/edge/src/tallyhall_edge/messages.py
+++ b/packages/edge/src/tallyhall_edge/messages.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages and the few rules that all of them share."""
+"""Heads of HTTP messages, and rules that clients and servers share."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), in
-# lower case; they are never forwarded.
-_ONE_CONNECTION = frozenset(
+# Hop-by-hop headers (RFC 9110, section 7.6.1) and framing headers in lower
+# case; they are never forwarded.
+_HOP_BY_HOP = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -28,7 +28,7 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """The head of a request, with its headers as they came."""
+    """The head of a request, with its headers as received."""
 
     method: bytes
     target: bytes
@@ -36,7 +36,7 @@
 
     @property
     def path(self) -> str:
-        """Return the target without its query."""
+        """Return the request target without its query."""
         return self.target.partition(b'?')[0].decode('latin-1')
 
 
@@ -54,7 +54,7 @@
 
 
 def find(headers: Headers, name: bytes) -> bytes | None:
-    """Return the value of the first header of this lower-case name."""
+    """Return the value of the first header with this lower-case name."""
     for key, text in headers:
         if key.lower() == name:
             return text
@@ -67,29 +67,31 @@
 
 
 def forwarded(headers: Headers, without: Iterable[bytes] = ()) -> Headers:
-    """Return the headers that a message keeps on its next connection.
+    """Return the headers of a message that may be forwarded.
 
-    Left out are those that concern one connection, those that any `Connection`
-    names, and the lower-case names given. Some servers read an underscore as
-    a dash, so a name that is left out is so in that spelling too.
+    Excluded are hop-by-hop headers, those named by any `Connection` header and
+    the given lower-case names. Some servers read an underscore as a dash, so
+    excluded names are matched in that spelling too.
     """
-    left_out = _ONE_CONNECTION.union(without)
+    excluded = _HOP_BY_HOP.union(without)
     for name, listed in headers:
         if name.lower() == b'connection':
-            left_out = left_out.union(
+            excluded = excluded.union(
                 part.strip().lower() for part in listed.split(b',')
             )
     return tuple(
-        (key, text) for key, text in headers if _dashed(key) not in left_out
+        (key, text)
+        for key, text in headers
+        if _normalized_name(key) not in excluded
     )
 
 
-def _dashed(name: bytes) -> bytes:
+def _normalized_name(name: bytes) -> bytes:
     return name.lower().replace(b'_', b'-')
 
 
 def head_bytes(first_line: bytes, headers: Headers) -> bytes:
-    """Return a head as it is sent, with the empty line at its end."""
+    """Encode a head, including the empty line at its end."""
     lines = [first_line]
     lines.extend(b'%b: %b' % (key, text) for key, text in headers)
     lines.extend((b'', b''))
@@ -97,7 +99,7 @@
 
 
 def chunk(payload: bytes) -> bytes:
-    """Return one chunk of a chunked body."""
+    """Encode one chunk of a chunked body."""
     return b'%x\r\n%b\r\n' % (len(payload), payload)
 
 
--- a/packages/edge/src/tallyhall_edge/request_log.py
+++ b/packages/edge/src/tallyhall_edge/request_log.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of each request."""
+"""Log events and metrics of requests."""
 
 from __future__ import annotations
 
@@ -17,17 +17,19 @@
 from .visit import ANSWERED, Visit
 
 _MILLI = 1000
-# Characters of a cause; it may hold what an upstream sent.
-_SHOWN_CAUSE = 100
-# Unread headers that are told by name; an upstream may make up any number.
-_MOST_UNREAD = 20
+# Maximum length of a logged cause, in characters; it may contain bytes that an
+# upstream sent.
+_MAX_CAUSE_CHARS = 100
+# Maximum number of unknown header names that are logged; an upstream could send
+# any number of them.
+_MAX_UNREAD_HEADERS = 20
 
 
 class RequestLog:
-    """Tells of requests by their ids."""
+    """Logs the steps of requests under their ids."""
 
     def __init__(self, telemetry: Telemetry) -> None:
-        """Tell it to this."""
+        """Log to this telemetry."""
         self._telemetry = telemetry
         self._unread: set[str] = set()
 
@@ -37,7 +39,7 @@
         admitted: Admitted,
         confirmed_s_ago: float | None,
     ) -> None:
-        """Log an admission and what decided it."""
+        """Log an admission and the values that decided it."""
         workspace = admitted.workspace
         self._telemetry.event(
             Event.admitted,
@@ -50,11 +52,11 @@
             confirmed_ms_ago=_millis(confirmed_s_ago),
             tokens=call.prompt_tokens + call.output_tokens,
             over_quota_s=admitted.over_quota_s,
-            **_charged(admitted),
+            **_charge_fields(admitted),
         )
 
     def permitted(self, visit: Visit, grant: Grant) -> None:
-        """Log where a request is sent."""
+        """Log the upstream that a request is sent to."""
         self._telemetry.event(
             Event.permitted,
             served=True,
@@ -72,13 +74,13 @@
         upstream: Upstream,
         report: RunReport,
     ) -> None:
-        """Log how a send ended, beside what was forecast of it.
+        """Log how a send ended, together with its forecast.
 
-        Where it failed, what was asked tells whether the same request fails
-        again and again, and the cause whether its connection was lost.
+        The content digest of failed sends shows whether the same request fails
+        repeatedly; the cause shows whether its connection was lost.
         """
         served = report.ending is Ending.answered
-        failed = {} if served else _failed_inputs(visit)
+        failed = {} if served else _failure_fields(visit)
         self._telemetry.event(
             Event.send_ended,
             served=served,
@@ -92,22 +94,22 @@
             pause_after=report.pause_after,
             total_ms=_millis(report.total_s),
             **failed,
-            **_said(visit),
+            **_upstream_status_fields(visit),
         )
 
     def header_unread(self, upstream: Upstream, name: str) -> None:
-        """Log once that upstreams send a header that nothing here reads."""
-        if name in self._unread or len(self._unread) >= _MOST_UNREAD:
+        """Log an unknown header of upstreams the first time it is seen."""
+        if name in self._unread or len(self._unread) >= _MAX_UNREAD_HEADERS:
             return
         self._unread.add(name)
         self._telemetry.event(
             Event.header_unread,
-            header=name[:_SHOWN_CAUSE],
+            header=name[:_MAX_CAUSE_CHARS],
             upstream=upstream.incarnation,
         )
 
     def budget_binds(self, visit: Visit) -> None:
-        """Log that a request is not sent again, for the retry budget."""
+        """Log that the retry budget prevents a retry."""
         self._telemetry.event(
             Event.budget_binds,
             request=visit.request_id,
@@ -115,7 +117,7 @@
         )
 
     def caller_left(self, visit: Visit) -> None:
-        """Log that nobody waits for an answer any more."""
+        """Log that the caller disconnected before the end of its answer."""
         self._telemetry.event(
             Event.caller_left,
             request=visit.request_id,
@@ -129,14 +131,14 @@
         refusal: Refusal,
         cause: RefusedError | None = None,
     ) -> None:
-        """Log a refusal, and what decided it where that is known."""
+        """Log a refusal, and the values that decided it if known."""
         self._telemetry.event(
             Event.refused,
             request=request_id,
             reason=refusal.reason.value,
             detail=refusal.detail,
             retry_after=refusal.retry_after,
-            **_refusal_inputs(cause),
+            **_refusal_fields(cause),
         )
 
     def ended(self, visit: Visit, now: float) -> None:
@@ -148,8 +150,10 @@
             visit.admitted.route.kind.value,
         )
         served = visit.outcome == ANSWERED
-        # Without the lines before it, this one still tells what decided.
-        inputs = _late_inputs(visit, now) if served else _inputs(visit)
+        # This line has all values that matter, even if earlier ones are lost.
+        fields = (
+            _lateness_fields(visit, now) if served else _unserved_fields(visit)
+        )
         self._telemetry.event(
             Event.finished,
             served=served,
@@ -157,11 +161,11 @@
             outcome=visit.outcome,
             total_ms=_millis(total_s),
             sends=visit.sends,
-            **inputs,
+            **fields,
         )
 
 
-def _inputs(visit: Visit) -> dict[str, object]:
+def _unserved_fields(visit: Visit) -> dict[str, object]:
     admitted = visit.admitted
     workspace = admitted.workspace
     return {
@@ -174,24 +178,24 @@
         'may_have_run': visit.may_have_run,
         'begun': visit.begun,
         'since_first_ms': _millis(visit.since_first_s),
-        'waited_ms': _millis(visit.all_waits_s),
+        'waited_ms': _millis(visit.total_wait_s),
         'limit_ms': _millis(visit.end_at - visit.exchange.received_at),
     }
 
 
-def _failed_inputs(visit: Visit) -> dict[str, object]:
+def _failure_fields(visit: Visit) -> dict[str, object]:
     relay = visit.relay
-    broken = None if relay is None else relay.broken
+    error = None if relay is None else relay.error
     return {
         'content': visit.content,
-        'cause': None if broken is None else str(broken)[:_SHOWN_CAUSE],
+        'cause': None if error is None else str(error)[:_MAX_CAUSE_CHARS],
     }
 
 
-def _said(visit: Visit) -> dict[str, object]:
-    """Return what an upstream said of itself, beside its answer."""
+def _upstream_status_fields(visit: Visit) -> dict[str, object]:
+    """Return what the answer's head says about the upstream."""
     info = None if visit.relay is None else visit.relay.info
-    if info is None or not info.says_anything:
+    if info is None or not info.has_upstream_status:
         return {}
     return {
         'leaving': info.leaving,
@@ -200,16 +204,16 @@
     }
 
 
-def _late_inputs(visit: Visit, now: float) -> dict[str, object]:
+def _lateness_fields(visit: Visit, now: float) -> dict[str, object]:
     late = lateness(visit, now)
     if late is None:
         return {}
     return {'route': visit.admitted.route.name, **msgspec.structs.asdict(late)}
 
 
-def _refusal_inputs(cause: RefusedError | None) -> dict[str, object]:
+def _refusal_fields(cause: RefusedError | None) -> dict[str, object]:
     if isinstance(cause, OverQuotaError):
-        return _over_quota(cause)
+        return _over_quota_fields(cause)
     if isinstance(cause, GivenUpError):
         outlook = cause.outlook
         return {
@@ -221,13 +225,13 @@
     return {}
 
 
-def _charged(admitted: Admitted) -> dict[str, object]:
+def _charge_fields(admitted: Admitted) -> dict[str, object]:
     if admitted.seen is None:
         return {}
-    return {'charged': admitted.charged, **_quota_inputs(admitted.seen)}
+    return {'charged': admitted.charged, **_quota_fields(admitted.seen)}
 
 
-def _over_quota(cause: OverQuotaError) -> dict[str, object]:
+def _over_quota_fields(cause: OverQuotaError) -> dict[str, object]:
     if cause.seen is None:
         return {}
     return {
@@ -235,11 +239,11 @@
         'asked': cause.asked,
         'quota': round(cause.seen.quota),
         'window_s': cause.seen.window_s,
-        **_quota_inputs(cause.seen),
+        **_quota_fields(cause.seen),
     }
 
 
-def _quota_inputs(seen: QuotaSeen) -> dict[str, object]:
+def _quota_fields(seen: QuotaSeen) -> dict[str, object]:
     return {
         'used': round(seen.used),
         'limit': round(seen.limit),
--- a/packages/edge/src/tallyhall_edge/runner.py
+++ b/packages/edge/src/tallyhall_edge/runner.py
@@ -1,7 +1,7 @@
-"""A request's way: admitted, queued, sent, relayed, answered.
+"""The request pipeline: admission, queueing, sending, relaying, answering.
 
-Only the instance that holds the caller's connection knows the request, so it
-alone keeps the promises.
+Only the instance that holds the caller's connection knows the whole request,
+so it alone enforces the guarantees on execution and deadlines.
 """
 
 from __future__ import annotations
@@ -24,17 +24,18 @@
 from .relay import Relay
 from .request_log import RequestLog
 from .scheduling import Scheduler
-from .sending import Sending
+from .sending import Sender
 from .stopping import Stop, stopping_error
 from .telemetry import Telemetry
 from .visit import ANSWERED, Visit, note_send
 
-# Told to callers whose request an upstream turned away, in seconds.
-_FULL_RETRY_S = 0.3
-# A starting instance reads the desired state within 10 ms where the store
-# answers; a caller that was refused instead would come back in 500 ms.
-_FIRST_STATE_S = 0.15
-_STATE_LOOK_S = 0.01
+# Minimum Retry-After in seconds for requests that upstreams rejected.
+_REJECTED_RETRY_S = 0.3
+# How long requests wait for the first desired state, in seconds. A starting
+# instance reads it within 10 ms if the store answers; a caller that was refused
+# instead would come back in 500 ms.
+_STATE_WAIT_S = 0.15
+_STATE_POLL_S = 0.01
 
 
 class Runner:
@@ -51,15 +52,15 @@
         zone: str,
         guard: Guard,
     ) -> None:
-        """Work with these parts of the instance."""
-        # Asks others what they have used of quotas; returns whether something
-        # newer is known then.
-        self.ask_use: Callable[[], Awaitable[bool]] = _nobody_asked
+        """Create the handler from the components of the instance."""
+        # Asks other instances for their quota usage; returns whether this
+        # brought newer values.
+        self.ask_use: Callable[[], Awaitable[bool]] = _no_refresh
         self._gate = gate
         self._scheduler = scheduler
         self._dialect = dialect
         self._log = RequestLog(telemetry)
-        self._sending = Sending(
+        self._sender = Sender(
             gate,
             scheduler,
             conns,
@@ -68,22 +69,22 @@
             guard,
         )
         self._guard = guard
-        # Job keys begin with the instance, which makes them unique.
+        # Prefix of job keys, which makes them unique among all instances.
         self._instance = instance
         self._zone = zone
-        self._jobs = itertools.count()
+        self._job_numbers = itertools.count()
         self._first_tries = FirstTries()
         # Set once the instance is told to stop.
         self._stop: Stop | None = None
         # Requests that wait for an upstream.
-        self._waits: dict[asyncio.Timeout, Visit] = {}
+        self._pending: dict[asyncio.Timeout, Visit] = {}
         self._loop = asyncio.get_running_loop()
 
     def begin_stop(self, stop: Stop) -> None:
-        """Refuse what could not be finished, also what waits already."""
+        """Refuse requests that could not finish, including waiting ones."""
         self._stop = stop
-        for timeout, visit in self._waits.items():
-            timeout.reschedule(self._waits_until(visit))
+        for timeout, visit in self._pending.items():
+            timeout.reschedule(self._acquire_deadline(visit))
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
@@ -93,40 +94,42 @@
             refusal = Refusal.of(Reason.bad_request, detail=str(exc))
             self._refuse(exchange, refusal, '')
             return
-        await self._until_state(exchange.received_at)
+        await self._wait_for_state(exchange.received_at)
         try:
-            visit = await self._entered(exchange, call)
+            visit = await self._admit_with_refresh(exchange, call)
         except RefusedError as exc:
             self._refuse(exchange, exc.refusal, call.id_text, exc)
             return
-        await self._visit(visit)
+        await self._process(visit)
 
     # -- steps
 
-    async def _visit(self, visit: Visit) -> None:
+    async def _process(self, visit: Visit) -> None:
         try:
             async with asyncio.timeout_at(visit.end_at):
                 await self._serve(visit)
         except RefusedError as exc:
-            self._give_up(visit, exc.refusal, exc)
+            self._end_refused(visit, exc.refusal, exc)
         except TimeoutError:
-            self._time_over(visit)
+            self._on_timeout(visit)
         except asyncio.CancelledError:
             visit.outcome = visit.outcome or 'caller_left'
             self._log.caller_left(visit)
             raise
         finally:
-            self._end(visit)
+            self._finalize(visit)
 
-    async def _until_state(self, received_at: float) -> None:
-        """Wait a little for the first desired state."""
+    async def _wait_for_state(self, received_at: float) -> None:
+        """Wait for the first desired state, for a limited time."""
         while self._gate.version < 0:
-            if self._loop.time() - received_at > _FIRST_STATE_S:
+            if self._loop.time() - received_at > _STATE_WAIT_S:
                 return
-            await asyncio.sleep(_STATE_LOOK_S)
+            await asyncio.sleep(_STATE_POLL_S)
 
-    async def _entered(self, exchange: Exchange, call: CallInfo) -> Visit:
-        """Let a request in; refuse nobody for a use that is old news."""
+    async def _admit_with_refresh(
+        self, exchange: Exchange, call: CallInfo
+    ) -> Visit:
+        """Admit a request; refresh the quota usage before refusing for it."""
         try:
             return self._enter(exchange, call)
         except OverQuotaError:
@@ -153,11 +156,11 @@
             admitted,
             exchange.received_at + limit_s,
             call.last_event,
-            self._content(exchange, call, admitted),
+            self._digest_content(exchange, call, admitted),
             self._since_first_s(exchange, call, admitted),
         )
 
-    def _content(
+    def _digest_content(
         self,
         exchange: Exchange,
         call: CallInfo,
@@ -196,24 +199,25 @@
             grant = await self._acquire(visit, job)
             note_send(visit, grant, self._loop.time())
             self._log.permitted(visit, grant)
-            ending, relay = await self._sending.send(
+            ending, relay = await self._sender.send(
                 visit,
                 job,
                 grant.upstream,
             )
             if ending is Ending.answered:
-                self._answered(visit, relay)
+                self._complete(visit, relay)
                 return
             visit.last_event = relay.last_event
             visit.excluded.add(grant.upstream.incarnation)
-            if not self._sending.may_send_again(visit, ending):
+            if not self._sender.may_retry(visit, ending):
                 self._fail(visit, ending, relay)
                 return
 
     def _check_stop(self, visit: Visit) -> None:
-        """Refuse what could still run when the instance ends.
+        """Refuse a request that could still be running when the instance ends.
 
-        Counted from now: a body may end long after its head came.
+        The check uses the current time, as the body of a request may be
+        complete long after its head was received.
         """
         stop = self._stop
         if stop is None or not stop.refuses(self._loop.time()):
@@ -222,25 +226,25 @@
             raise stopping_error()
 
     async def _acquire(self, visit: Visit, job: Job) -> Grant:
-        """Return an upstream; what waits is refused before the end, not cut."""
-        timeout = asyncio.timeout_at(self._waits_until(visit))
+        """Return an upstream; refuse a waiting request before a stop ends."""
+        timeout = asyncio.timeout_at(self._acquire_deadline(visit))
         try:
             async with timeout:
-                self._waits[timeout] = visit
+                self._pending[timeout] = visit
                 return await self._scheduler.acquire(job)
         except TimeoutError as exc:
             raise stopping_error() from exc
         finally:
-            self._waits.pop(timeout, None)
+            self._pending.pop(timeout, None)
 
-    def _waits_until(self, visit: Visit) -> float | None:
-        """Return when a stop ends the wait of a request, None if never."""
+    def _acquire_deadline(self, visit: Visit) -> float | None:
+        """Return when a stop ends a request's wait, None if it does not."""
         stop = self._stop
         if stop is None or visit.end_at <= stop.ends_at:
             return None
         if visit.sends:
-            return stop.resends_until
-        return stop.sends_until
+            return stop.retry_deadline
+        return stop.first_send_deadline
 
     def _job(self, visit: Visit, suspect: str) -> Job:
         route = visit.admitted.route
@@ -250,7 +254,7 @@
         if visit.sends:
             received_at = self._loop.time()
         return Job(
-            key=f'{self._instance}/{next(self._jobs)}',
+            key=f'{self._instance}/{next(self._job_numbers)}',
             service=visit.admitted.service,
             zone=self._zone,
             urgency=route.priority,
@@ -267,14 +271,14 @@
             spare=visit.admitted.over_quota_s > 0,
             pause_s=route.gap_s,
             suspect=suspect,
-            resting=self._sending.rests.current(self._loop.time()),
+            resting=self._sender.rests.current(self._loop.time()),
             route=route.name,
             once=not route.repeatable,
         )
 
-    # -- ends
+    # -- outcomes
 
-    def _answered(self, visit: Visit, relay: Relay) -> None:
+    def _complete(self, visit: Visit, relay: Relay) -> None:
         visit.outcome = ANSWERED
         if not visit.exchange.ended:
             relay.deliver()
@@ -293,27 +297,28 @@
         elif ending is Ending.rejected:
             refusal = Refusal.of(
                 Reason.upstream_full,
-                retry_after=self._full_retry_s(visit.admitted.service),
+                retry_after=self._rejected_retry_s(visit.admitted.service),
             )
         else:
             refusal = Refusal.of(
                 Reason.no_upstream,
-                retry_after=_FULL_RETRY_S,
+                retry_after=_REJECTED_RETRY_S,
             )
-        self._give_up(visit, refusal)
+        self._end_refused(visit, refusal)
 
-    def _full_retry_s(self, service: str) -> float:
-        """Return when to come back after a rejection: a rest is kept."""
-        resting = self._sending.rests.current(self._loop.time())
+    def _rejected_retry_s(self, service: str) -> float:
+        """Return when to retry after a rejection; covers pending backoffs."""
+        resting = self._sender.rests.current(self._loop.time())
         rest_s = self._scheduler.opens_in_s(service, resting)
-        return max(_FULL_RETRY_S, rest_s)
+        return max(_REJECTED_RETRY_S, rest_s)
 
-    def _time_over(self, visit: Visit) -> None:
+    def _on_timeout(self, visit: Visit) -> None:
         relay = visit.relay
-        # After a standstill the limit may be found over in the turn of the
-        # loop that read the whole answer; what is here counts.
+        # After a stall of the process, the timeout may expire in the same
+        # iteration of the event loop that read the complete answer; the answer
+        # counts.
         if relay is not None and relay.ending is Ending.answered:
-            self._answered(visit, relay)
+            self._complete(visit, relay)
             return
         if visit.exchange.started:
             visit.outcome = 'timed_out'
@@ -322,9 +327,9 @@
         reason = Reason.deadline_unreachable
         if visit.may_have_run:
             reason = Reason.timed_out
-        self._give_up(visit, Refusal.of(reason))
+        self._end_refused(visit, Refusal.of(reason))
 
-    def _give_up(
+    def _end_refused(
         self,
         visit: Visit,
         refusal: Refusal,
@@ -361,13 +366,14 @@
             answer.body,
         )
 
-    def _end(self, visit: Visit) -> None:
+    def _finalize(self, visit: Visit) -> None:
         now = self._loop.time()
         if not visit.may_have_run:
-            # Also of callers that left and of time that ended unsent.
+            # This includes requests whose caller disconnected or whose time
+            # ran out before they were sent.
             self._gate.give_back(visit.admitted, now)
         self._log.ended(visit, now)
 
 
-async def _nobody_asked() -> bool:
+async def _no_refresh() -> bool:
     return False
--- a/packages/edge/src/tallyhall_edge/scheduling.py
+++ b/packages/edge/src/tallyhall_edge/scheduling.py
@@ -1,8 +1,8 @@
-"""The pools of this instance, and who hears of their decisions.
+"""The service pools of this instance, and the delivery of their decisions.
 
-Jobs come from requests of this instance and, where it owns a service, from
-other instances. Both are asked for in the same way; an `Origin` hears what
-became of a job.
+Jobs come from requests of this instance and, if it owns a service, from other
+instances. Both are queued in the same way; the `Origin` of a job is notified
+of the decision.
 """
 
 from __future__ import annotations
@@ -29,24 +29,26 @@
 if TYPE_CHECKING:
     from tallyhall_dispatch.rollout import Rollout
 
-# How often waiting jobs are looked at when nothing else happens, seconds: a
-# fifth of the shortest objective.
-_LOOK_S = 0.02
-# A draw for a place holds for this long, in seconds: a run takes 0.2 s in the
-# middle; drawn at every look, all would have a place within the same run.
-_TURN_S = 0.5
-# The least chance in a draw, so that one has a place within 2 s on the average.
-_LEAST_PART = 0.25
-# Told to callers of a service that the desired state does not name, in seconds;
-# the next state may.
-_NO_SERVICE_RETRY_S = 1.0
+# Interval in seconds at which waiting jobs are checked when nothing else
+# triggers a decision: a fifth of the shortest objective.
+_POLL_S = 0.02
+# How long a random draw for a slot is valid, in seconds. The median run takes
+# 0.2 s; if instances drew at every poll, all of them would win a slot within
+# the duration of one run.
+_DRAW_VALID_S = 0.5
+# Minimum chance in a draw, so that an instance wins a slot within 2 s on
+# average.
+_MIN_CHANCE = 0.25
+# Retry-After in seconds for a service that the desired state does not contain;
+# the next state may contain it.
+_UNKNOWN_SERVICE_RETRY_S = 1.0
 
 
 class UpstreamListener(Protocol):
-    """Takes what upstreams say of themselves in answers, by incarnation."""
+    """Receives the signals that upstreams send in their answers."""
 
     def leaves(self, incarnation: str) -> None:
-        """Take that an upstream says that it leaves."""
+        """Handle the announcement of an upstream that it is leaving."""
 
     def names_limit(
         self,
@@ -54,19 +56,19 @@
         per_s: float | None,
         asked_at: float,
     ) -> None:
-        """Take the limit that an answer names, None if it names none.
+        """Handle the rate limit that an answer states.
 
-        per_s: requests a second from all instances. asked_at: when the request
-        was sent that it answers.
+        per_s: requests per second from all instances together, None if the
+        answer states no limit. asked_at: when the answered request was sent.
         """
 
 
 class Scheduler(Protocol):
-    """Grants upstreams to requests."""
+    """Assigns upstreams to requests."""
 
     @property
     def upstream_news(self) -> UpstreamListener:
-        """Return who takes what upstreams say in answers."""
+        """Return the listener for signals in answers."""
 
     async def acquire(self, job: Job) -> Grant:
         """Return an upstream for one send; raise RefusedError."""
@@ -75,30 +77,31 @@
         """Return whether an upstream still takes new requests."""
 
     def first_byte(self, job: Job) -> None:
-        """Take that the answer of a job has begun."""
+        """Record that the answer of a job has begun."""
 
     def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
-        """Return how long all upstreams of a service rest, 0 if one does not.
+        """Return the time until an upstream of a service is out of backoff.
 
-        resting: those that rest, and until when.
+        resting: the upstreams in backoff and the end of each backoff. The
+        result is 0 if any upstream is not in backoff.
         """
 
     def finish(self, job: Job, upstream: Upstream, report: RunReport) -> None:
-        """Take that a send has ended."""
+        """Record that a send has ended."""
 
 
 class Origin(Protocol):
-    """Where a job came from."""
+    """The requester of a job, notified of the decision."""
 
     def granted(self, granted: Granted) -> None:
-        """Hear that a job may be sent, and when an answer is expected."""
+        """Handle the assignment of an upstream and the forecast."""
 
     def given_up(self, given_up: GivenUp) -> None:
-        """Hear that a job cannot be answered in time."""
+        """Handle the decision that a job cannot be answered in time."""
 
 
 class Dispatcher:
-    """The pools of all services on this instance."""
+    """Holds the pools of all services on this instance."""
 
     def __init__(self, rng: random.Random) -> None:
         """Start without services."""
@@ -108,20 +111,20 @@
         self._origins: dict[str, Origin] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._upstreams: tuple[Upstream, ...] = ()
-        self._by_id: dict[str, Upstream] = {}
+        self._by_incarnation: dict[str, Upstream] = {}
         self.leavers = Leavers()
         self.named_limits = NamedLimits()
-        # The part of the limits of each service that is for this instance.
-        self._parts: dict[str, float] = {}
+        # The share of the limits of each service that this instance may use.
+        self._limit_shares: dict[str, float] = {}
         self._versions: dict[str, ServiceVersions] = collections.defaultdict(
             ServiceVersions,
         )
-        # Until when a draw for a place of a service holds, and the draw.
+        # For each service the end of validity of the last draw, and its value.
         self._draws: dict[str, tuple[float, float]] = {}
 
     @property
     def waiting(self) -> int:
-        """Return how many jobs wait."""
+        """Return the number of waiting jobs."""
         return sum(pool.waiting for pool in self._pools.values())
 
     def is_model(self, service: str) -> bool:
@@ -130,11 +133,11 @@
         return pool is not None and pool.is_model
 
     def is_shared(self, service: str) -> bool:
-        """Return whether one instance places the requests of a service.
+        """Return whether one instance schedules all requests of a service.
 
-        Always those of model engines, and of any service in a roll-out or with
-        an upstream that names a limit: what a new version or that upstream
-        gets is bounded over all instances together.
+        This applies to model engines, and to any service in a rollout or with
+        an upstream that states a limit, as the load on a new version or on that
+        upstream is bounded over all instances together.
         """
         pool = self._pools.get(service)
         if pool is not None and (pool.is_model or pool.upstreams.is_limited):
@@ -142,21 +145,21 @@
         return self._versions[service].running is not None
 
     def places(self, service: str) -> tuple[int, int]:
-        """Return the places of the upstreams in use, and of those on trial."""
+        """Return the slots of the upstreams in use and of the canaries."""
         pool = self._pools.get(service)
         return (0, 0) if pool is None else (pool.places, pool.canary_places)
 
     def upstream(self, incarnation: str) -> Upstream | None:
-        """Return a known upstream."""
-        return self._by_id.get(incarnation)
+        """Return an upstream by its incarnation, None if it is unknown."""
+        return self._by_incarnation.get(incarnation)
 
     def is_usable(self, incarnation: str) -> bool:
-        """Return whether an upstream is known and does not leave."""
-        upstream = self._by_id.get(incarnation)
+        """Return whether an upstream is known and not leaving."""
+        upstream = self._by_incarnation.get(incarnation)
         return upstream is not None and not upstream.leaving
 
     def take_state(self, state: DesiredState) -> None:
-        """Have a pool for each service of the desired state."""
+        """Create a pool for each new service of the desired state."""
         for name, service in state.services.items():
             if name not in self._pools:
                 self._pools[name] = ServicePool(
@@ -167,7 +170,7 @@
         self.take_upstreams(self._upstreams)
 
     def take_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
-        """Take all upstreams as they stand now."""
+        """Replace the set of upstreams and decide on waiting jobs."""
         self._upstreams = upstreams
         grouped: dict[str, list[Upstream]] = collections.defaultdict(list)
         for known in map(self.leavers.marked, upstreams):
@@ -177,7 +180,7 @@
             name: self._versions[name].marked(group, now)
             for name, group in grouped.items()
         }
-        self._by_id = {
+        self._by_incarnation = {
             upstream.incarnation: upstream
             for group in marked.values()
             for upstream in group
@@ -185,7 +188,7 @@
         for name, pool in self._pools.items():
             pool.set_upstreams(marked.get(name, ()))
             self._apply_limits(pool)
-            self._pump(pool)
+            self._apply_decisions(pool)
 
     def take_rollout(
         self,
@@ -193,28 +196,29 @@
         order: RolloutOrder | None,
         status: RolloutStatus | None,
     ) -> None:
-        """Take which versions of a service take requests."""
+        """Update the rollout of a service, which selects its versions."""
         versions = self._versions[service]
         versions.order = order
         versions.status = status
         self.take_upstreams(self._upstreams)
 
     def look_at_versions(self) -> None:
-        """Take another version where the one in use stays away."""
+        """Switch services to another version if the one in use is absent."""
         now = self._loop.time()
         if any(one.is_absent(now) for one in self._versions.values()):
             self.take_upstreams(self._upstreams)
 
     def lead(self, service: str, rollout: Rollout | None) -> None:
-        """Place requests of a service on the upstreams on trial, or cease."""
+        """Start to schedule requests of a service on canaries, or stop."""
         pool = self._pools.get(service)
         if pool is not None:
             pool.rollout = rollout
 
     def leaves(self, incarnation: str) -> bool:
-        """Take that an upstream said that it leaves; return whether it is news.
+        """Mark an upstream as leaving; return whether this is new.
 
-        It does whatever its entry says, until its end.
+        The mark holds until the upstream ends, whatever its registry entry
+        says.
         """
         if not self.leavers.add(incarnation):
             return False
@@ -223,56 +227,56 @@
 
     @property
     def said_to_leave(self) -> tuple[str, ...]:
-        """Return the known upstreams that said themselves that they leave."""
-        return tuple(one for one in self._by_id if one in self.leavers)
+        """Return the known upstreams that announced that they are leaving."""
+        return tuple(one for one in self._by_incarnation if one in self.leavers)
 
     def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
-        """Return how long all upstreams rest, 0 if one does not."""
+        """Return the time until an upstream is out of backoff, 0 if one is."""
         pool = self._pools.get(service)
         if pool is None:
             return 0
         return pool.opens_in_s(resting, self._loop.time())
 
     def ask(self, job: Job, origin: Origin) -> None:
-        """Queue a job; the origin hears of it, maybe before this returns."""
+        """Queue a job; the origin may be notified before this returns."""
         pool = self._pools.get(job.service)
         if pool is None:
-            origin.given_up(GivenUp(job.key, _NO_SERVICE_RETRY_S))
+            origin.given_up(GivenUp(job.key, _UNKNOWN_SERVICE_RETRY_S))
             return
         self._origins[job.key] = origin
         pool.ask(job)
-        self._pump(pool)
+        self._apply_decisions(pool)
 
     def withdraw(self, key: str) -> None:
-        """Forget a waiting job."""
+        """Remove a waiting job."""
         self._origins.pop(key, None)
         for pool in self._pools.values():
             pool.withdraw(key)
 
     def note_running(self, job: Job, incarnation: str) -> None:
-        """Take that a job runs that was not granted here."""
+        """Record a running job that another instance granted."""
         pool = self._pools.get(job.service)
         if pool is not None:
             pool.note_running(job, incarnation)
 
     def first_byte(self, key: str, service: str) -> None:
-        """Take that the answer of a job has begun."""
+        """Record that the answer of a job has begun."""
         pool = self._pools.get(service)
         if pool is not None:
             pool.first_byte(key)
 
     def first_byte_of(self, key: str) -> None:
-        """Take that the answer of a job of some service has begun."""
+        """Record that the answer of a job of unknown service has begun."""
         for pool in self._pools.values():
             pool.first_byte(key)
 
     def is_waiting(self, key: str) -> bool:
-        """Return whether a job waits here."""
+        """Return whether a job waits on this instance."""
         return key in self._origins
 
     def service_of(self, incarnation: str) -> str:
         """Return the service of an upstream, empty for an unknown one."""
-        upstream = self._by_id.get(incarnation)
+        upstream = self._by_incarnation.get(incarnation)
         return '' if upstream is None else upstream.service
 
     def finish(
@@ -282,34 +286,35 @@
         incarnation: str,
         report: RunReport,
     ) -> None:
-        """Take that a send has ended."""
+        """Record that a send has ended."""
         pool = self._pools.get(service)
         if pool is None:
             return
         pool.finish(key, report, self._loop.time())
         if report.ending is Ending.misplaced:
             pool.misplaced(incarnation)
-        self._pump(pool)
+        self._apply_decisions(pool)
 
     def apply_limits(self) -> None:
-        """Keep to the limits that upstreams name now."""
+        """Apply the current limits of upstreams to all pools."""
         for pool in self._pools.values():
             self._apply_limits(pool)
-            self._pump(pool)
+            self._apply_decisions(pool)
 
     def take_limit_parts(self, parts: Mapping[str, float]) -> None:
-        """Keep to these parts of the limits, by service.
+        """Apply this instance's shares of the limits, by service.
 
-        Elsewhere, and where the part is 0, another instance decides.
+        For services that are missing or have a share of 0, another instance
+        decides.
         """
-        if parts == self._parts:
+        if parts == self._limit_shares:
             return
-        self._parts = dict(parts)
+        self._limit_shares = dict(parts)
         self.apply_limits()
 
     @property
     def limited_services(self) -> tuple[str, ...]:
-        """Return the services with an upstream that names a limit."""
+        """Return the services with an upstream that states a limit."""
         return tuple(
             name
             for name, pool in self._pools.items()
@@ -317,16 +322,18 @@
         )
 
     def take_share(self, share: float) -> None:
-        """Fill at most this part of the places of model engines."""
+        """Use at most this share of the slots of model engines."""
         for pool in self._pools.values():
             if pool.is_model:
                 pool.take_share(share)
 
     def may_fill(self, service: str, filled: int, instances: int) -> bool:
-        """Return whether one of so many instances may fill one place more.
+        """Return whether this instance may fill one more slot.
 
-        Fewer places than instances go by chance, drawn anew from time to time,
-        so that no instance has none for long.
+        filled: slots that it uses now. instances: number of instances that
+        share the slots. If there are fewer slots than instances, they are
+        assigned by chance and drawn again from time to time, so that no
+        instance goes without one for long.
         """
         pool = self._pools.get(service)
         if pool is None:
@@ -335,25 +342,25 @@
         until, drawn = self._draws.get(service, (0, 0))
         if now >= until:
             drawn = self._rng.random()
-            self._draws[service] = (now + _TURN_S, drawn)
-        return filled + drawn < max(_LEAST_PART, pool.places / instances)
+            self._draws[service] = (now + _DRAW_VALID_S, drawn)
+        return filled + drawn < max(_MIN_CHANCE, pool.places / instances)
 
     def drop_jobs(self, prefix: str) -> None:
-        """Forget all jobs whose key has this prefix."""
+        """Remove all jobs whose key has this prefix."""
         for key in tuple(self._origins):
             if key.startswith(prefix):
                 self._origins.pop(key)
         for pool in self._pools.values():
             pool.drop_jobs(prefix)
-            self._pump(pool)
+            self._apply_decisions(pool)
 
     def _apply_limits(self, pool: ServicePool) -> None:
-        part = self._parts.get(pool.service, 0)
+        part = self._limit_shares.get(pool.service, 0)
         pool.upstreams.apply_limits(
             self.named_limits.current, part, self._loop.time()
         )
 
-    def _pump(self, pool: ServicePool) -> None:
+    def _apply_decisions(self, pool: ServicePool) -> None:
         for decision in pool.decide(self._loop.time()):
             origin = self._origins.pop(decision.key, None)
             if origin is None:
@@ -363,20 +370,20 @@
             elif isinstance(decision, GivenUp):
                 origin.given_up(decision)
         if pool.waiting and self._timer is None:
-            self._timer = self._loop.call_later(_LOOK_S, self._look)
+            self._timer = self._loop.call_later(_POLL_S, self._poll)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self._timer = None
         for pool in self._pools.values():
             if pool.waiting:
-                self._pump(pool)
+                self._apply_decisions(pool)
 
 
 class GivenUpError(RefusedError):
-    """A job cannot be answered in time."""
+    """The refusal of a job that cannot be answered in time."""
 
     def __init__(self, given_up: GivenUp) -> None:
-        """Keep when to return, and what was foreseen."""
+        """Store when to retry and the forecast behind the decision."""
         refusal = Refusal.of(
             Reason.deadline_unreachable,
             retry_after=given_up.retry_after_s,
--- a/packages/edge/src/tallyhall_edge/sending.py
+++ b/packages/edge/src/tallyhall_edge/sending.py
@@ -1,7 +1,8 @@
-"""One send of a request to an upstream, and whether another one may follow.
+"""Sends a request to an upstream and decides whether it may be retried.
 
-What must not run twice is written to one upstream, and written again only if
-that upstream says that it did not run it or nothing was written at all.
+A request that is not repeatable is written to one upstream, and written again
+only if that upstream states that it did not execute it or if nothing was
+written at all.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from .client import ClientConnection
 from .connections import ConnectionPool
 from .dialect import AnswerInfo, Dialect, SendInfo
-from .errors import LostError, NotSentError, RestingError
+from .errors import ConnectionLostError, NotSentError, BackoffError
 from .guard import Guard
 from .messages import head_bytes
 from .relay import Relay
@@ -26,28 +27,29 @@
 from .scheduling import Scheduler
 from .visit import Visit
 
-# A kept connection may have died unnoticed. What may be sent again uses any
-# that is kept; what may not uses only one that worked a moment ago. Seconds.
-_IDLE_REPEATABLE_S = 10.0
-_IDLE_ONCE_S = 1.0
-# Sends of one request at the most, with those that upstreams rejected.
-_MOST_SENDS = 4
-# An answer that has not begun after this part of its objective is taken as
-# lost, so that another upstream can still be in time; longer by the time that
-# a slow engine with others ahead needs for each token of the prompt.
-_SILENCE_PART = 0.65
-_SLOW_TOKEN_S = 0.00006
-# A request that waited longer for its place met full engines; asking an owner
-# takes 3 ms.
-_LOADED_WAIT_S = 0.03
+# A kept connection may have died unnoticed. Repeatable requests use any kept
+# connection; others use only one that was in use a moment ago. In seconds.
+_MAX_IDLE_REPEATABLE_S = 10.0
+_MAX_IDLE_NON_REPEATABLE_S = 1.0
+# Maximum sends of one request, including those that upstreams rejected.
+_MAX_SENDS = 4
+# An answer that has not begun after this fraction of the route's objective is
+# treated as lost, so that another upstream can still meet the objective. The
+# timeout is extended by the time that a slow engine with queued requests needs
+# for each token of the prompt.
+_SILENCE_FRACTION = 0.65
+_PREFILL_S_PER_TOKEN = 0.00006
+# A request that waited longer than this for its slot, in seconds, found the
+# engines full; asking the owner of a service takes only 3 ms.
+_OVERLOAD_WAIT_S = 0.03
 
 _SAFE_TO_RESEND = frozenset(
     (Ending.rejected, Ending.misplaced, Ending.unsent, Ending.withheld),
 )
 
 
-class Sending:
-    """Sends requests of one instance to upstreams."""
+class Sender:
+    """Sends the requests of one instance to upstreams."""
 
     def __init__(
         self,
@@ -58,14 +60,14 @@
         log: RequestLog,
         guard: Guard,
     ) -> None:
-        """Send over these connections."""
+        """Send requests over connections of this pool."""
         self._guard = guard
         self._gate = gate
         self._scheduler = scheduler
         self._conns = conns
         self._dialect = dialect
         self._log = log
-        # What upstreams asked this instance for.
+        # Backoffs that upstreams requested from this instance.
         self.rests = Rests()
         self._loop = asyncio.get_running_loop()
 
@@ -75,44 +77,44 @@
         job: Job,
         upstream: Upstream,
     ) -> tuple[Ending, Relay]:
-        """Return how the send ended, and its answer."""
-        relay = self._relay(visit, job, upstream)
+        """Send a request once; return how that ended and the answer."""
+        relay = self._make_relay(visit, job, upstream)
         visit.relay = relay
         ending = Ending.left
         try:
-            ending = await self._exchange(visit, upstream, relay)
-        except RestingError:
+            ending = await self._send_once(visit, upstream, relay)
+        except BackoffError:
             ending = Ending.withheld
         except NotSentError:
             ending = Ending.unsent
         finally:
-            # Before an answer of this instance's own is written.
+            # Read before this instance writes an answer of its own.
             visit.begun = visit.exchange.started
-            # What ended before the wait for it was broken off has ended.
+            # An ending that was reached before the wait was cancelled counts.
             report = relay.report(relay.ending or ending)
             self._scheduler.finish(job, upstream, report)
-            self._note_end(visit, upstream, report)
+            self._record_end(visit, upstream, report)
         return report.ending, relay
 
-    def may_send_again(self, visit: Visit, ending: Ending) -> bool:
-        """Return whether a request may be sent once more; spend its budget."""
-        if visit.sends >= _MOST_SENDS:
+    def may_retry(self, visit: Visit, ending: Ending) -> bool:
+        """Return whether a request may be retried; spend its retry budget."""
+        if visit.sends >= _MAX_SENDS:
             return False
         if ending in _SAFE_TO_RESEND:
             if ending in NOT_SENT:
-                # What did not leave costs no budget.
+                # Nothing was sent, so the retry budget is not charged.
                 return True
-            return self._spend(visit)
+            return self._spend_retry_budget(visit)
         route = visit.admitted.route
         if not route.repeatable or visit.may_have_run >= route.attempts:
             return False
         if visit.exchange.started and not route.resumable:
             return False
-        return self._spend(visit)
+        return self._spend_retry_budget(visit)
 
     # -- steps
 
-    def _note_end(
+    def _record_end(
         self,
         visit: Visit,
         upstream: Upstream,
@@ -120,28 +122,28 @@
     ) -> None:
         visit.pause_s = max(visit.pause_s, report.pause_s)
         self._log.send_ended(visit, upstream, report)
-        self._tell_guard(visit, upstream)
+        self._update_guard(visit, upstream)
 
-    def _tell_guard(self, visit: Visit, upstream: Upstream) -> None:
+    def _update_guard(self, visit: Visit, upstream: Upstream) -> None:
         permit = visit.permit
         relay = visit.relay
         if permit is None or relay is None:
             return
         visit.permit = None
-        if isinstance(relay.broken, LostError):
+        if isinstance(relay.error, ConnectionLostError):
             self._guard.lost(visit.content, permit, upstream)
         elif relay.succeeded:
             self._guard.answered(visit.content)
         if permit.is_trial:
             self._guard.release(visit.content)
 
-    def _take_said(
+    def _apply_answer_info(
         self,
         upstream: Upstream,
         asked_at: float,
         info: AnswerInfo,
     ) -> None:
-        self._take_limit(upstream, asked_at, info)
+        self._report_limit(upstream, asked_at, info)
         if info.leaving:
             self._scheduler.upstream_news.leaves(upstream.incarnation)
             self._conns.drop(upstream.incarnation)
@@ -151,13 +153,14 @@
         for name in info.unread:
             self._log.header_unread(upstream, name)
 
-    def _take_limit(
+    def _report_limit(
         self,
         upstream: Upstream,
         asked_at: float,
         info: AnswerInfo,
     ) -> None:
-        # One that turns a request away may do so before it knows its state.
+        # An upstream may reject a request before it has loaded its state; a
+        # rejection without a limit does not mean that there is none.
         has_run = info.proven and not info.not_executed
         if has_run or info.limit_per_s is not None:
             self._scheduler.upstream_news.names_limit(
@@ -166,7 +169,7 @@
                 asked_at,
             )
 
-    def _relay(
+    def _make_relay(
         self,
         visit: Visit,
         job: Job,
@@ -179,43 +182,45 @@
             visit.last_event,
             streaming=streaming,
         )
-        relay.on_said = functools.partial(
-            self._take_said,
+        relay.on_answer_info = functools.partial(
+            self._apply_answer_info,
             upstream,
             self._loop.time(),
         )
-        relay.on_first = functools.partial(
-            self._note_first,
+        relay.on_first_event = functools.partial(
+            self._on_first_event,
             visit,
             job,
             visit.relay,
         )
         return relay
 
-    def _note_first(
+    def _on_first_event(
         self,
         visit: Visit,
         job: Job,
         earlier: Relay | None,
     ) -> None:
-        """Take that an answer has begun, maybe where an earlier one broke."""
+        """Record the first event; measure the pause if it resumes a stream."""
         self._scheduler.first_byte(job)
-        if earlier is not None and earlier.last_at:
-            pause_s = self._loop.time() - earlier.last_at
+        if earlier is not None and earlier.last_event_at:
+            pause_s = self._loop.time() - earlier.last_event_at
             visit.resumed_pause_s = max(visit.resumed_pause_s, pause_s)
 
-    async def _exchange(
+    async def _send_once(
         self,
         visit: Visit,
         upstream: Upstream,
         relay: Relay,
     ) -> Ending:
         repeatable = visit.admitted.route.repeatable
-        idle_s = _IDLE_REPEATABLE_S if repeatable else _IDLE_ONCE_S
+        idle_s = (
+            _MAX_IDLE_REPEATABLE_S if repeatable else _MAX_IDLE_NON_REPEATABLE_S
+        )
         conn = await self._conns.take(upstream, idle_s)
         try:
-            await self._write(visit, upstream, relay, conn)
-            ending = await self._answer(visit, relay)
+            await self._write_request(visit, upstream, relay, conn)
+            ending = await self._await_answer(visit, relay)
         finally:
             visit.exchange.on_writable = None
             self._conns.give_back(upstream, conn)
@@ -223,77 +228,80 @@
             visit.may_have_run -= 1
         return ending
 
-    async def _write(
+    async def _write_request(
         self,
         visit: Visit,
         upstream: Upstream,
         relay: Relay,
         conn: ClientConnection,
     ) -> None:
-        """Write a request, unless it must not reach this upstream any more.
+        """Write a request after checking again that it may still be sent.
 
-        A connection takes up to 0.3 s. Meanwhile its like may have ended
-        another upstream, this one may leave or ask for rest, and the key may
-        have been taken away.
+        Connecting takes up to 0.3 s. In that time a request with the same
+        content may have crashed another upstream, this upstream may have
+        started to leave or asked for a backoff, and the API key may have been
+        revoked.
         """
         visit.permit = await self._guard.permit(visit.content)
         now = self._loop.time()
         if not self._scheduler.is_usable(upstream):
             conn.close()
-            raise NotSentError('the upstream has left')
+            raise NotSentError('the upstream takes no new requests')
         if self.rests.rests(upstream.incarnation, now):
-            raise RestingError('the upstream rests')
+            raise BackoffError('the upstream asked for a backoff')
         if not self._gate.still_holds(visit.admitted, now):
             refusal = Refusal.of(Reason.state_not_confirmed, retry_after=1)
             raise RefusedError(refusal)
         relay.bind(conn)
         conn.send(
-            self._request(visit, upstream),
+            self._encode_request(visit, upstream),
             relay,
             visit.call.request_id,
         )
         visit.may_have_run += 1
 
-    async def _answer(self, visit: Visit, relay: Relay) -> Ending:
-        """Wait for the end of an answer, or for one that never begins.
+    async def _await_answer(self, visit: Visit, relay: Relay) -> Ending:
+        """Wait for the end of an answer, or until it is overdue to begin.
 
         An upstream may hang, or lose the answer of a request that it ran. A
-        request that may run again goes elsewhere then, if the retry budget
-        bears it; otherwise waiting on is the better chance.
+        repeatable request is then sent to another upstream if the retry budget
+        allows it; otherwise waiting on is the better chance.
 
-        After a standstill one turn of the loop reads an answer and finds the
-        timer due, so what counts is whether it has begun, not the timer.
+        After a stall of the process, one iteration of the event loop may both
+        read an answer and find the timer expired. What counts is therefore
+        whether the answer has begun, not whether the timer expired.
         """
-        if not self._takes_silence_as_loss(visit):
+        if not self._may_abandon_silent(visit):
             return await relay.done
         try:
-            async with asyncio.timeout(self._patience_s(visit)):
+            async with asyncio.timeout(self._silence_timeout_s(visit)):
                 await relay.begun.wait()
         except TimeoutError:
             silent = not relay.begun.is_set()
-            if silent and self._spend(visit):
-                visit.repeat_paid = True
+            if silent and self._spend_retry_budget(visit):
+                visit.retry_charged = True
                 return Ending.unknown
         return await relay.done
 
-    def _takes_silence_as_loss(self, visit: Visit) -> bool:
-        """Return whether a request may go elsewhere if no answer begins.
+    def _may_abandon_silent(self, visit: Visit) -> bool:
+        """Return whether a send may be abandoned if no answer begins.
 
-        Where requests wait for places, silence is more likely the load.
+        If requests have to wait for slots, a missing answer is more likely
+        caused by load than by a fault.
         """
         route = visit.admitted.route
         if not route.repeatable:
             return False
         if visit.may_have_run >= route.attempts:
             return False
-        return visit.waited_s <= _LOADED_WAIT_S
+        return visit.waited_s <= _OVERLOAD_WAIT_S
 
-    def _patience_s(self, visit: Visit) -> float:
+    def _silence_timeout_s(self, visit: Visit) -> float:
         objective_s = visit.admitted.route.objective_s
-        reading_s = visit.call.prompt_tokens * _SLOW_TOKEN_S
-        return _SILENCE_PART * objective_s + reading_s
+        prefill_s = visit.call.prompt_tokens * _PREFILL_S_PER_TOKEN
+        return _SILENCE_FRACTION * objective_s + prefill_s
 
-    def _request(self, visit: Visit, upstream: Upstream) -> bytes:
+    def _encode_request(self, visit: Visit, upstream: Upstream) -> bytes:
         exchange = visit.exchange
         workspace = visit.admitted.workspace
         resumes = visit.last_event != visit.call.last_event
@@ -312,9 +320,9 @@
         line = b'%b %b HTTP/1.1' % (head.method, head.target)
         return head_bytes(line, headers) + exchange.body
 
-    def _spend(self, visit: Visit) -> bool:
-        if visit.repeat_paid:
-            visit.repeat_paid = False
+    def _spend_retry_budget(self, visit: Visit) -> bool:
+        if visit.retry_charged:
+            visit.retry_charged = False
             return True
         service = visit.admitted.service
         allowed = self._gate.may_repeat(service, self._loop.time())
--- a/packages/edge/src/tallyhall_edge/server.py
+++ b/packages/edge/src/tallyhall_edge/server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards callers: an address and the connections to it."""
+"""HTTP/1.1 server for callers: a listening socket and its connections."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 
 from .caller_connection import ServerConnection, ServerLimits
-from .exchange import Respond
+from .exchange import RequestHandler
 
-# Listen queue; a full one costs a caller seconds, as its opening packet is
-# dropped and sent again.
+# Length of the listen queue. If it is full, a caller's SYN is dropped and sent
+# again, which delays the caller by seconds.
 _BACKLOG = 1024
-# Connections of callers at once, where no other bound is given.
-_MOST_CONNECTIONS = 1000
+# Default maximum of simultaneous connections.
+_MAX_CONNECTIONS = 1000
 
 
 class HttpServer:
@@ -20,13 +20,13 @@
 
     def __init__(
         self,
-        respond: Respond,
+        respond: RequestHandler,
         failed: Callable[[Exception], None],
         limits: ServerLimits,
-        most_connections: int = _MOST_CONNECTIONS,
+        max_connections: int = _MAX_CONNECTIONS,
     ) -> None:
-        """Call `respond` for each request, `failed` for what it raises."""
-        self.most_connections = most_connections
+        """Handle requests with `respond`, and its exceptions with `failed`."""
+        self.max_connections = max_connections
         self.turned_away = 0
         self.respond = respond
         self.failed = failed
@@ -36,7 +36,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Open the address; raise OSError where it is taken."""
+        """Listen on an address; raise OSError if it is in use."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ServerConnection(self),
@@ -48,20 +48,20 @@
 
     @property
     def open_connections(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._conns)
 
     @property
     def busy(self) -> int:
-        """Return how many connections have a request in hand."""
+        """Return the number of connections that handle a request."""
         return sum(conn.busy for conn in self._conns)
 
     def stop_keeping(self) -> None:
-        """End each connection after the request that it carries."""
+        """Close each connection after its current request."""
         self.stopping = True
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections without a request."""
         for conn in tuple(self._conns):
             if not conn.busy:
                 conn.close()
@@ -72,18 +72,18 @@
             conn.abort()
 
     def close(self) -> None:
-        """Stop to accept."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
     def add(self, conn: ServerConnection) -> bool:
-        """Know a new connection; return whether there is room for it."""
-        if len(self._conns) >= self.most_connections:
+        """Register a connection; return False if there are too many."""
+        if len(self._conns) >= self.max_connections:
             self.turned_away += 1
             return False
         self._conns.add(conn)
         return True
 
     def discard(self, conn: ServerConnection) -> None:
-        """Forget a connection."""
+        """Unregister a connection."""
         self._conns.discard(conn)
--- a/packages/edge/src/tallyhall_edge/stopping.py
+++ b/packages/edge/src/tallyhall_edge/stopping.py
@@ -1,47 +1,51 @@
-"""What a stopping instance refuses, and until when it answers."""
+"""Deadlines of a stopping instance: which requests it still serves."""
 
 from __future__ import annotations
 
 import msgspec
 from tallyhall_core.refusals import Reason, Refusal, RefusedError
 
-# Told to callers that came to a stopping instance: others are there at once.
-_ELSEWHERE_S = 0.1
-# A first send later than this before the end would likely be cut.
-_LAST_RUN_S = 2.2
-# What still waits to be sent again is answered this long before the end.
-_LAST_ANSWER_S = 0.1
+# Retry-After in seconds for callers that a stopping instance refuses; other
+# instances are available at once.
+_RETRY_AFTER_S = 0.1
+# A first send later than this many seconds before the end would probably be cut
+# off.
+_FIRST_SEND_MARGIN_S = 2.2
+# Requests that still wait for a retry are refused this many seconds before the
+# end.
+_RETRY_MARGIN_S = 0.1
 
 
 class Stop(msgspec.Struct, frozen=True):
-    """When a stopping instance ends, and from when it refuses longer requests.
+    """The schedule of a stopping instance, on the clock of the event loop.
 
-    Both on the clock of the loop; the second at the latest when a first send
-    would likely be cut.
+    refuses_at: when it starts to refuse requests that may outlast its end; at
+    the latest this is when a first send would probably be cut off. ends_at:
+    when the process ends.
     """
 
     refuses_at: float
     ends_at: float
 
     @property
-    def sends_until(self) -> float:
-        """Return until when a first send has time to be answered."""
-        return self.ends_at - _LAST_RUN_S
+    def first_send_deadline(self) -> float:
+        """Return the time until which a first send can still be answered."""
+        return self.ends_at - _FIRST_SEND_MARGIN_S
 
     @property
-    def resends_until(self) -> float:
-        """Return until when what was sent before may wait for another send.
+    def retry_deadline(self) -> float:
+        """Return the time until which a request may wait for a retry.
 
-        It may have run; another send is its best chance.
+        It may have run before, so a retry is its best chance of an answer.
         """
-        return self.ends_at - _LAST_ANSWER_S
+        return self.ends_at - _RETRY_MARGIN_S
 
     def refuses(self, now: float) -> bool:
-        """Return whether requests are refused that may outlast the end."""
-        return now >= min(self.refuses_at, self.sends_until)
+        """Return whether requests that may outlast the end are refused."""
+        return now >= min(self.refuses_at, self.first_send_deadline)
 
 
 def stopping_error() -> RefusedError:
-    """Return the refusal of what a stopping instance could not finish."""
-    refusal = Refusal.of(Reason.stopping, retry_after=_ELSEWHERE_S)
+    """Return the refusal of a request that could not be finished in time."""
+    refusal = Refusal.of(Reason.stopping, retry_after=_RETRY_AFTER_S)
     return RefusedError(refusal)
--- a/packages/edge/src/tallyhall_edge/telemetry.py
+++ b/packages/edge/src/tallyhall_edge/telemetry.py
@@ -1,4 +1,4 @@
-"""Where the edge tells what happens."""
+"""Interface for the log events and metrics of the edge."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Telemetry(Protocol):
-    """Takes numbered events and what a request came to."""
+    """Receives log events and the outcomes of requests."""
 
     def event(self, event: Event, **fields: object) -> None:
         """Log an event."""
 
     def ended(self, outcome: str, total_s: float, route_kind: str) -> None:
-        """Count a request that has ended."""
+        """Record the outcome and duration of a request."""
--- a/packages/edge/src/tallyhall_edge/visit.py
+++ b/packages/edge/src/tallyhall_edge/visit.py
@@ -1,4 +1,4 @@
-"""One request under way on this instance."""
+"""The state of a request that this instance handles."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 
 class Visit(msgspec.Struct):
-    """A request from its admission to its end; times of the loop, in seconds.
+    """The state of an admitted request; times of the event loop, in seconds.
 
-    end_at: when its time is over. last_event: the newest event that its
-    caller has. content: digest of what is asked. since_first_s: time between
-    the caller's first try and this one. waited_s: for the place of the last
-    send; all_waits_s: for all of them; later_waits_s: for all but the first.
-    pause_s: the longest between two events of one send; resumed_pause_s: the
-    longest between the last event of one and the first of the next.
+    end_at: deadline of the request. last_event: number of the newest event
+    that the caller has. content: digest of the requested content.
+    since_first_s: time between the caller's first attempt and this one.
+    may_have_run: sends that an upstream may have executed. retry_charged:
+    whether the retry budget has already been spent for the next send.
+    waited_s: wait for the slot of the last send; total_wait_s: sum over all
+    sends; retry_wait_s: sum over all but the first. pause_s: longest pause
+    between two events of one send; resumed_pause_s: longest pause between the
+    last event of one send and the first of the next.
     """
 
     exchange: Exchange
@@ -35,12 +38,12 @@
     excluded: set[str] = msgspec.field(default_factory=set)
     sends: int = 0
     may_have_run: int = 0
-    repeat_paid: bool = False
-    # Of the send under way.
+    retry_charged: bool = False
+    # The permit of the current send.
     permit: Permit | None = None
     waited_s: float = 0
-    all_waits_s: float = 0
-    later_waits_s: float = 0
+    total_wait_s: float = 0
+    retry_wait_s: float = 0
     forecast_s: float = 0
     first_sent_at: float = 0
     sent_at: float = 0
@@ -53,18 +56,18 @@
 
     @property
     def request_id(self) -> str:
-        """Return the caller's id."""
+        """Return the caller's request id as text."""
         return self.call.id_text
 
 
 def note_send(visit: Visit, grant: Grant, now: float) -> None:
-    """Take that a request is sent now, after a wait for its place."""
+    """Record that a request is sent now, after waiting for its slot."""
     visit.sends += 1
     visit.waited_s = grant.waited_s
-    visit.all_waits_s += grant.waited_s
+    visit.total_wait_s += grant.waited_s
     visit.forecast_s = grant.forecast_s
     visit.sent_at = now
     if visit.sends == 1:
         visit.first_sent_at = now
         return
-    visit.later_waits_s += grant.waited_s
+    visit.retry_wait_s += grant.waited_s
--- a/packages/edge/src/tallyhall_edge/whole.py
+++ b/packages/edge/src/tallyhall_edge/whole.py
@@ -1,4 +1,4 @@
-"""Small answers read as a whole, for calls that are not relayed."""
+"""Reads small responses into memory, for calls that are not relayed."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from .errors import BadMessageError, BrokenError
 from .messages import ResponseHead
 
-# Largest answer that is read as a whole: a page of a store, in bytes.
+# Maximum size of a buffered response, in bytes: one page of the store.
 MAX_WHOLE_BYTES = 8_000_000
 
 
 class WholeAnswer(msgspec.Struct, frozen=True):
-    """An answer with its whole body."""
+    """A response with its complete body."""
 
     status: int
     body: bytes
 
 
-class _WholeSink:
+class _BufferingSink:
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.done: asyncio.Future[WholeAnswer] = loop.create_future()
@@ -35,7 +35,9 @@
     def on_data(self, payload: bytes) -> None:
         self._size += len(payload)
         if self._size > MAX_WHOLE_BYTES:
-            self.on_end(BadMessageError('the answer is too large'))
+            self.on_end(
+                BadMessageError(f'response exceeds {MAX_WHOLE_BYTES} bytes'),
+            )
             return
         self._parts.append(payload)
 
@@ -49,7 +51,7 @@
 
 
 async def read_whole(conn: ClientConnection, raw: bytes) -> WholeAnswer:
-    """Send a request and return its answer; raise an EdgeError."""
-    sink = _WholeSink()
+    """Send a request and return its response; raise an EdgeError."""
+    sink = _BufferingSink()
     conn.send(raw, sink, b'')
     return await sink.done
--- a/tests/platform/test_answers_heard.py
+++ b/tests/platform/test_answers_heard.py
@@ -1,15 +1,13 @@
-"""What upstreams say in their answers binds the instance that was told.
-
-While the store was away an upstream began to leave and said so in all its
-answers; an instance passed them on and went on sending there for the rest of
-its life. Three others turned requests away and asked for three seconds of
-rest; each instance sent them 15 to 20 more within it, as one that turns away
-within a millisecond always has places free, and half of all requests were
-refused with upstreams free.
-
-Evidence: the record of the first has an answer that says so passed on 3.4 s
-before a request that reaches it by the same instance's own decision; that of
-the second 7 to 11 rejections a second by one upstream at one instance.
+"""Instances must obey the signals that upstreams send in their answers.
+
+These tests guard against two failures. While the store was unavailable, an
+upstream announced in all its answers that it was leaving; an instance forwarded
+such answers and still sent it a request 3.4 s later, and so on until it ended.
+Three other upstreams rejected requests and asked for a backoff of three
+seconds; each instance sent them 15 to 20 more requests in that time (7 to 11 a
+second to one upstream), because an upstream that rejects within a millisecond
+always has free slots. Half of all requests were refused while other upstreams
+were free.
 """
 
 import asyncio
@@ -26,22 +24,23 @@
     deployment,
 )
 
-# Requests that were under way when the first answer said so.
-_UNDER_WAY = 2
-_REST_S = 1.5
-# What reaches an upstream in its rest at most, and how soon a rest counts.
-_BORNE = 2
-_SOON_S = 0.5
+# Requests that may be in flight when the first answer announces it.
+_IN_FLIGHT = 2
+_BACKOFF_S = 1.5
+# Maximum requests that reach an upstream during its backoff, and the time after
+# which a backoff must be in effect.
+_MAX_DURING_BACKOFF = 2
+_SETTLE_S = 0.5
 _PAUSE_S = 0.02
 
 
-async def _ask_on(
+async def _ask_for(
     made: Deployment,
     path: str,
     seconds: float,
     at_once: int = 2,
 ) -> list[Answer]:
-    """Ask all instances in turn, a few requests at a time."""
+    """Send a few requests at a time to all instances in turn."""
     loop = asyncio.get_running_loop()
     ends_at = loop.time() + seconds
     answers: list[Answer] = []
@@ -57,108 +56,114 @@
     return answers
 
 
-async def test_one_that_says_it_leaves_gets_nothing_more() -> None:
-    """Its entry in the store says nothing of it."""
+async def test_a_leaving_upstream_receives_no_more_requests() -> None:
+    """The upstream's entry in the store does not say that it leaves."""
     async with deployment() as made:
-        leaver = await made.add_engine('plain-0', PLAIN)
+        leaving_engine = await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
         await made.ready()
         made.store.fault = StoreFault.refuses
-        leaver.leaving = True
-        answers = await _ask_on(made, '/open/x', 1)
+        leaving_engine.leaving = True
+        answers = await _ask_for(made, '/open/x', 1)
         assert {answer.status for answer in answers} == {200}
-        assert 0 < len(leaver.seen) <= _UNDER_WAY
+        assert 0 < len(leaving_engine.seen) <= _IN_FLIGHT
 
 
-async def test_it_leaves_until_its_end() -> None:
-    """A late entry of the same upstream takes nothing back."""
+async def test_leaving_lasts_until_the_upstream_ends() -> None:
+    """A later entry of the same upstream does not revoke it."""
     async with deployment() as made:
-        leaver = await made.add_engine('plain-0', PLAIN)
+        leaving_engine = await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
         await made.ready()
-        leaver.leaving = True
-        await _ask_on(made, '/open/x', 0.2)
-        reached = len(leaver.seen)
-        assert reached <= _UNDER_WAY
+        leaving_engine.leaving = True
+        await _ask_for(made, '/open/x', 0.2)
+        reached = len(leaving_engine.seen)
+        assert reached <= _IN_FLIGHT
         made.store.remove('servers/plain-0')
         await made.next_watch()
         made.register('plain-0', made.addresses['plain-0'], PLAIN, seq=9)
         await made.next_watch()
-        await _ask_on(made, '/open/x', 0.5)
-        assert len(leaver.seen) == reached
+        await _ask_for(made, '/open/x', 0.5)
+        assert len(leaving_engine.seen) == reached
 
 
-async def test_an_owner_hears_that_one_leaves() -> None:
-    """The instance that was told is not the one that places requests."""
+async def test_the_owner_learns_that_an_upstream_leaves() -> None:
+    """The instance that reads the answer is not the one that schedules."""
     async with deployment(3) as made:
-        leaver = await made.add_engine('engine-0')
+        leaving_engine = await made.add_engine('engine-0')
         await made.add_engine('engine-1')
         await made.ready()
-        leaver.leaving = True
-        await _ask_on(made, '/stream/x', 0.3, 6)
-        reached = len(leaver.seen)
-        answers = await _ask_on(made, '/stream/x', 0.5, 6)
+        leaving_engine.leaving = True
+        await _ask_for(made, '/stream/x', 0.3, 6)
+        reached = len(leaving_engine.seen)
+        answers = await _ask_for(made, '/stream/x', 0.5, 6)
         assert {answer.status for answer in answers} == {200}
-        assert len(leaver.seen) == reached
+        assert len(leaving_engine.seen) == reached
 
 
-async def _resting(
+async def _backing_off(
     made: Deployment,
     service: str,
-    tired: int,
-    fresh: int,
+    overloaded: int,
+    healthy: int,
 ) -> list[EngineStandIn]:
-    """Start upstreams, some of which turn all away; return those."""
+    """Start upstreams, some of which reject everything; return those."""
     engines = [
         await made.add_engine(f'e-{number}', service)
-        for number in range(tired + fresh)
+        for number in range(overloaded + healthy)
     ]
     await made.ready()
-    for engine in engines[:tired]:
-        engine.rest_s = _REST_S
-    return engines[:tired]
+    for engine in engines[:overloaded]:
+        engine.rest_s = _BACKOFF_S
+    return engines[:overloaded]
 
 
-def _assert_rested(tired: list[EngineStandIn], reached: list[int]) -> None:
-    for engine, before in zip(tired, reached, strict=True):
-        assert len(engine.seen) - before <= _BORNE
+def _assert_backed_off(
+    overloaded: list[EngineStandIn], reached: list[int]
+) -> None:
+    for engine, before in zip(overloaded, reached, strict=True):
+        assert len(engine.seen) - before <= _MAX_DURING_BACKOFF
 
 
-async def test_one_that_asks_for_rest_has_it() -> None:
+async def test_a_requested_backoff_is_kept() -> None:
     async with deployment() as made:
-        tired = await _resting(made, PLAIN, 2, 3)
-        await _ask_on(made, '/safe/x', _SOON_S)
-        reached = [len(engine.seen) for engine in tired]
+        overloaded = await _backing_off(made, PLAIN, 2, 3)
+        await _ask_for(made, '/safe/x', _SETTLE_S)
+        reached = [len(engine.seen) for engine in overloaded]
         assert all(reached)
-        answers = await _ask_on(made, '/safe/x', _REST_S - _SOON_S - 0.2)
-        _assert_rested(tired, reached)
+        answers = await _ask_for(made, '/safe/x', _BACKOFF_S - _SETTLE_S - 0.2)
+        _assert_backed_off(overloaded, reached)
         assert {answer.status for answer in answers} == {200}
 
 
-async def test_owners_place_nothing_where_one_must_not_send() -> None:
-    """Each instance is asked for itself; owners place for all."""
+async def test_owners_respect_the_backoff_of_each_instance() -> None:
+    """A backoff applies to one instance, but owners schedule for all."""
     async with deployment(3) as made:
-        tired = await _resting(made, MODEL, 2, 3)
-        await _ask_on(made, '/stream/x', _SOON_S, 6)
-        reached = [len(engine.seen) for engine in tired]
-        answers = await _ask_on(made, '/stream/x', _REST_S - _SOON_S - 0.2, 6)
-        for engine, before in zip(tired, reached, strict=True):
-            assert len(engine.seen) - before <= _BORNE * len(made.instances)
+        overloaded = await _backing_off(made, MODEL, 2, 3)
+        await _ask_for(made, '/stream/x', _SETTLE_S, 6)
+        reached = [len(engine.seen) for engine in overloaded]
+        answers = await _ask_for(
+            made, '/stream/x', _BACKOFF_S - _SETTLE_S - 0.2, 6
+        )
+        for engine, before in zip(overloaded, reached, strict=True):
+            assert len(engine.seen) - before <= _MAX_DURING_BACKOFF * len(
+                made.instances
+            )
         served = sum(answer.status == 200 for answer in answers)
         assert served > 0.9 * len(answers)
 
 
-async def test_where_all_rest_callers_return_in_time_to_be_served() -> None:
+async def test_retry_after_covers_a_backoff_of_all_upstreams() -> None:
     async with deployment() as made:
-        tired = await _resting(made, PLAIN, 2, 0)
-        await _ask_on(made, '/once/x', 0.2)
-        reached = [len(engine.seen) for engine in tired]
+        overloaded = await _backing_off(made, PLAIN, 2, 0)
+        await _ask_for(made, '/once/x', 0.2)
+        reached = [len(engine.seen) for engine in overloaded]
         answer = await made.caller().ask('/once/x', 'late')
         assert answer.status == 503
         wait_s = float(answer.header('retry-after'))
-        assert _REST_S / 2 < wait_s <= _REST_S
-        assert [len(engine.seen) for engine in tired] == reached
-        for engine in tired:
+        assert _BACKOFF_S / 2 < wait_s <= _BACKOFF_S
+        assert [len(engine.seen) for engine in overloaded] == reached
+        for engine in overloaded:
             engine.rest_s = None
         await asyncio.sleep(wait_s)
         answer = await made.caller().ask('/once/x', 'back')
--- a/tests/platform/test_content.py
+++ b/tests/platform/test_content.py
@@ -1,4 +1,8 @@
-"""What a request asks, as its lines tell it; attempts have ids of their own."""
+"""The content digest of requests in log lines.
+
+Each attempt has an id of its own, so only the digest identifies a repeated
+request.
+"""
 
 import json
 from pathlib import Path
@@ -10,8 +14,8 @@
 from tests.platform.harness import PLAIN, logged_deployment
 
 
-def test_each_part_of_what_is_asked_counts() -> None:
-    asked = {
+def test_each_part_of_a_request_changes_the_digest() -> None:
+    digests = {
         content_digest(b'a', b'POST', b'/x/', b'body'),
         content_digest(b'b', b'POST', b'/x/', b'body'),
         content_digest(b'a', b'PUT', b'/x/', b'body'),
@@ -19,10 +23,10 @@
         content_digest(b'a', b'POST', b'/x/', b'other'),
         content_digest(b'a', b'POST', b'/x', b'/body'),
     }
-    assert len(asked) == 6
+    assert len(digests) == 6
 
 
-async def test_lines_of_failed_sends_tell_what_was_asked(
+async def test_log_lines_of_failed_sends_have_the_content_digest(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / 'log'
@@ -35,14 +39,14 @@
         await made.caller().ask('/once/x', 'served', body=b'one')
     lines = [json.loads(line) for line in path.read_text().splitlines()]
     for event in ('send_ended', 'finished'):
-        first, other, again = _asked(lines, event)
+        first, other, again = _content_digests(lines, event)
         assert first == again
         assert first != other
     broken = [line for line in lines if line.get('ending') == 'unknown']
     assert all('closed' in line['cause'] for line in broken)
 
 
-def _asked(lines: list[dict[str, Any]], event: str) -> list[str]:
+def _content_digests(lines: list[dict[str, Any]], event: str) -> list[str]:
     return [
         line['content']
         for line in lines
--- a/tests/platform/test_edge_server.py
+++ b/tests/platform/test_edge_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards callers, byte by byte."""
+"""Tests of the HTTP server at the level of bytes on the connection."""
 
 import asyncio
 import contextlib
@@ -7,7 +7,7 @@
 import pytest
 from tallyhall_bench.ports import free_ports
 from tallyhall_edge.caller_connection import ServerLimits
-from tallyhall_edge.errors import EndedError
+from tallyhall_edge.errors import ExchangeEndedError
 from tallyhall_edge.exchange import Exchange
 from tallyhall_edge.server import HttpServer
 
@@ -20,13 +20,13 @@
     body_s=0.2,
     idle_s=0.3,
 )
-# More than the buffers of the kernel hold.
-_MUCH = bytes(16_000_000)
-_ANSWER_TWO = b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo'
+# Larger than the socket buffers of the kernel.
+_LARGE_BODY = bytes(16_000_000)
+_RESPONSE_TWO = b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo'
 
 
-class _Served:
-    """A server that echoes bodies; `hold` lets requests wait."""
+class _EchoServer:
+    """A server that echoes bodies; clearing `hold` blocks its requests."""
 
     def __init__(self) -> None:
         self.hold = asyncio.Event()
@@ -39,7 +39,7 @@
         self.port = free_ports(1)[0]
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Serve, and return a connection."""
+        """Start the server and return a connection to it."""
         await self.server.listen(HOST, self.port)
         return await asyncio.open_connection(HOST, self.port)
 
@@ -63,8 +63,8 @@
     return b'\r\n'.join((*head, length, b'', b'')) + body
 
 
-async def test_requests_ahead_are_answered_in_order() -> None:
-    served = _Served()
+async def test_pipelined_requests_are_answered_in_order() -> None:
+    served = _EchoServer()
     reader, writer = await served.open()
     writer.write(_post(b'one') + _post(b'two') + _post(b'three'))
     got = b''
@@ -75,8 +75,8 @@
 
 
 @pytest.mark.parametrize('cut', range(1, 90, 7))
-async def test_a_request_may_come_in_any_pieces(cut: int) -> None:
-    served = _Served()
+async def test_a_request_may_be_split_anywhere(cut: int) -> None:
+    served = _EchoServer()
     reader, writer = await served.open()
     raw = (
         b'POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n'
@@ -89,11 +89,11 @@
     assert answer.startswith(b'HTTP/1.1 200')
 
 
-_BAD = [
+_INVALID_REQUESTS = [
     (b'nonsense\r\n\r\n', 400),
     (b'GET / HTTP/1.1\r\nHost: x\r\nX: ' + b'y' * 400 + b'\r\n\r\n', 431),
     (_post(b'z' * 101), 413),
-    # Two ways to tell the length would let one request hide in another.
+    # Two conflicting lengths would allow request smuggling.
     (
         b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n'
         b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n',
@@ -104,9 +104,11 @@
 ]
 
 
-@pytest.mark.parametrize(('raw', 'status'), _BAD)
-async def test_bad_requests_end_the_connection(raw: bytes, status: int) -> None:
-    served = _Served()
+@pytest.mark.parametrize(('raw', 'status'), _INVALID_REQUESTS)
+async def test_invalid_requests_close_the_connection(
+    raw: bytes, status: int
+) -> None:
+    served = _EchoServer()
     reader, writer = await served.open()
     writer.write(raw)
     async with asyncio.timeout(2):
@@ -117,8 +119,8 @@
 
 
 @pytest.mark.parametrize('half', [False, True])
-async def test_a_caller_that_leaves_cancels_its_request(half: bool) -> None:
-    served = _Served()
+async def test_a_disconnect_cancels_the_request(half: bool) -> None:
+    served = _EchoServer()
     served.hold.clear()
     _, writer = await served.open()
     writer.write(_post(b'one'))
@@ -131,8 +133,8 @@
     assert not served.failures
 
 
-async def test_idle_connections_are_closed_in_time() -> None:
-    served = _Served()
+async def test_idle_connections_are_closed() -> None:
+    served = _EchoServer()
     reader, writer = await served.open()
     writer.write(_post(b'one'))
     await reader.readuntil(b'one')
@@ -143,9 +145,9 @@
         assert await reader.read() == b''
 
 
-async def test_a_flood_of_connections_is_bounded() -> None:
-    served = _Served()
-    served.server.most_connections = 5
+async def test_open_connections_are_bounded() -> None:
+    served = _EchoServer()
+    served.server.max_connections = 5
     first, writer = await served.open()
     opened = [
         await asyncio.open_connection(HOST, served.port) for _ in range(20)
@@ -157,8 +159,8 @@
     await first.readuntil(b'one')
 
 
-async def test_old_http_gets_no_chunks() -> None:
-    served = _Served()
+async def test_http_1_0_is_answered_without_chunks() -> None:
+    served = _EchoServer()
     reader, writer = await served.open()
     writer.write(b'GET / HTTP/1.0\r\n\r\n')
     async with asyncio.timeout(1):
@@ -167,32 +169,31 @@
     assert b'Connection: close' in answer
 
 
-async def test_an_answer_that_is_not_sent_yet_keeps_the_server_busy() -> None:
-    """A process must not end while bytes of a whole answer are in it.
+async def test_unsent_response_bytes_keep_the_server_busy() -> None:
+    """A stopping process must not end while response bytes are unsent.
 
-    Seen in no play; found by asking what else a stopping instance cuts. An
-    answer counted as done once it was written, although a caller that reads
-    slowly had not got it: with nothing else in hand the instance ended, and
-    what was left in its buffer was lost. Proof: this test, in which a server
-    with 16 MB to send was not busy.
+    A response used to count as done once it was written to the transport. If
+    the caller read slowly and no other request was in progress, the instance
+    ended and the rest of the write buffer was lost: a server with 16 MB left
+    to send was not busy.
     """
-    served = _Served()
-    served.server.respond = _answer_much
+    served = _EchoServer()
+    served.server.respond = _answer_large
     served.server.stop_keeping()
     reader, writer = await served.open()
     writer.write(_post(b'one'))
     await reader.readuntil(b'\r\n\r\n')
     assert served.server.busy == 1
-    assert len(await reader.read(-1)) == len(_MUCH)
+    assert len(await reader.read(-1)) == len(_LARGE_BODY)
     await until(lambda: not served.server.busy)
     writer.close()
 
 
-async def _answer_much(exchange: Exchange) -> None:
-    exchange.answer(200, b'OK', (), _MUCH)
+async def _answer_large(exchange: Exchange) -> None:
+    exchange.answer(200, b'OK', (), _LARGE_BODY)
 
 
-_LATE_ACTS: tuple[Callable[[Exchange], None], ...] = (
+_CALLS_AFTER_END: tuple[Callable[[Exchange], None], ...] = (
     lambda exchange: exchange.start(200, b'OK', (), 0),
     lambda exchange: exchange.write(b'late'),
     lambda exchange: exchange.finish(),
@@ -201,38 +202,38 @@
 )
 
 
-async def test_what_has_ended_reaches_its_connection_no_more() -> None:
-    """An old task may believe what it likes: the next answer stays whole.
+async def test_an_ended_exchange_writes_nothing() -> None:
+    """Operations on an ended exchange must not corrupt the next response.
 
-    Callers read the end of a stream in the next answer. The task of a request
-    that had ended wrote to its exchange, which wrote to the connection
-    whatever that carried by then. Proof: each act below reaches the caller.
+    The task of an ended request used to write to its exchange, which wrote to
+    the connection even though that already carried the next response: callers
+    read the end of a stream there. Each call below used to reach the caller.
     """
-    served = _Served()
+    served = _EchoServer()
     reader, writer = await served.open()
     with contextlib.closing(writer):
-        for late in _LATE_ACTS:
+        for call_late in _CALLS_AFTER_END:
             served.hold.set()
             writer.write(_post(b'one'))
             assert (await reader.readuntil(b'one')).startswith(b'HTTP/1.1 200')
             served.hold.clear()
             writer.write(_post(b'two'))
             await until(lambda: served.bodies[-1] == b'two')
-            late(served.exchanges[-2])
+            call_late(served.exchanges[-2])
             served.hold.set()
             answer = await reader.readuntil(b'two')
-            assert answer == _ANSWER_TWO
-    assert [type(exc) for exc in served.failures] == [EndedError] * 5
+            assert answer == _RESPONSE_TWO
+    assert [type(exc) for exc in served.failures] == [ExchangeEndedError] * 5
 
 
-async def test_continue_for_a_request_ahead_waits_for_the_answer() -> None:
-    """A caller that sends ahead reads each answer whole.
+async def test_continue_for_a_pipelined_request_waits() -> None:
+    """An interim response must not interrupt the current response.
 
-    The head of the next request may ask for `100 Continue` while an answer is
-    under way; written at once, it stood in the middle of that answer. Proof:
-    the parts of the answer below come with the interim one between them.
+    The head of a pipelined request may expect `100 Continue` while an earlier
+    request is still being answered. Written at once, the interim response used
+    to arrive between the parts of the other response.
     """
-    served = _Served()
+    served = _EchoServer()
     served.hold.clear()
     reader, writer = await served.open()
     with contextlib.closing(writer):
@@ -252,4 +253,4 @@
         )
         served.hold.set()
         writer.write(b'two')
-        assert await reader.readuntil(b'two') == _ANSWER_TWO
+        assert await reader.readuntil(b'two') == _RESPONSE_TWO
--- a/tests/platform/test_fatal_requests.py
+++ b/tests/platform/test_fatal_requests.py
@@ -1,17 +1,13 @@
-"""A request under which upstreams end is given up, and only that one.
-
-A caller sent the same request again and again, each time with a new id and
-to another instance. Each upstream that began to run it ended, with all that
-ran there for others: eight within 13 s, and all callers lost answers.
-
-Evidence: in the logs of all instances all connections to an upstream end
-within 2 ms, eight times; each time the youngest run without an event is of the
-same route and workspace (and, since lines tell it, of the same content), at
-any instance, also at one that had sent it before.
-
-Cause: nothing of a request outlived it. Instances knew upstreams that fail, and
-no requests under which they do. The lines of a play of this kind now show the
-second end of a content as such at every instance within 2 ms.
+"""A request that crashes upstreams is quarantined, and only that request.
+
+These tests guard against the following failure. A caller repeated the same
+request, each time with a new id and to another instance. Each upstream that
+began to run it ended with all other requests that it ran: eight upstreams
+within 13 s, and all callers lost answers. All connections to an upstream were
+lost within 2 ms, and each time the newest run without an event had the same
+content. Instances tracked failing upstreams but kept nothing about a request
+after its end, so none of them recognized the request, not even one that had
+sent it before.
 """
 
 import asyncio
@@ -30,15 +26,16 @@
     deployment,
 )
 
-# As many as may end before all that are in touch must know.
-_BOUND = 3
+# Maximum upstreams that may end before all connected instances must quarantine
+# the request.
+_MAX_ENDED = 3
 _INSTANCES = 3
-_ASKED = 10
-# Between two attempts of the caller.
+_ATTEMPTS = 10
+# Time between two attempts of the caller, in seconds.
 _PAUSE_S = 0.15
-# Within this time a usual request is served again after ends that it did not
-# cause.
-_SOON_S = 2.0
+# Time in seconds within which a harmless request must be served again after
+# upstreams ended for another reason.
+_RECOVERY_S = 2.0
 
 
 @contextlib.asynccontextmanager
@@ -71,38 +68,38 @@
     return answers
 
 
-async def test_few_upstreams_end_under_one_request() -> None:
+async def test_one_request_ends_few_upstreams() -> None:
     async with _upstreams() as (made, mortal):
-        answers = await _send_fatal(made, _ASKED)
-        assert 0 < mortal.ended <= _BOUND
+        answers = await _send_fatal(made, _ATTEMPTS)
+        assert 0 < mortal.ended <= _MAX_ENDED
         last = answers[-1]
         assert last.status == 503
         assert float(last.header('retry-after')) > 1
 
 
-async def test_a_route_of_one_attempt_is_no_exception() -> None:
+async def test_a_route_with_one_attempt_is_covered() -> None:
     async with _upstreams() as (made, mortal):
-        await _send_fatal(made, _ASKED, '/brittle/x')
-        assert 0 < mortal.ended <= _BOUND
+        await _send_fatal(made, _ATTEMPTS, '/brittle/x')
+        assert 0 < mortal.ended <= _MAX_ENDED
 
 
-async def test_plain_upstreams_are_kept_alike() -> None:
+async def test_plain_upstreams_are_covered() -> None:
     async with _upstreams(PLAIN) as (made, mortal):
-        for serial in range(_ASKED):
+        for serial in range(_ATTEMPTS):
             caller = made.caller(serial % _INSTANCES)
             await caller.ask('/safe/x', f'f{serial}', body=FATAL)
             await asyncio.sleep(_PAUSE_S)
-        assert 0 < mortal.ended <= _BOUND
+        assert 0 < mortal.ended <= _MAX_ENDED
 
 
-async def test_an_instance_that_starts_later_knows() -> None:
-    """None of those that saw upstreams end is left."""
+async def test_a_new_instance_refuses_the_request() -> None:
+    """All instances that saw the upstreams end have stopped."""
     async with _upstreams() as (made, mortal):
-        await _send_fatal(made, _ASKED)
-        # What was told last is written within this time.
+        await _send_fatal(made, _ATTEMPTS)
+        # The last reports are written to the store within this time.
         await asyncio.sleep(1)
         ended = mortal.ended
-        assert ended <= _BOUND
+        assert ended <= _MAX_ENDED
         await asyncio.gather(*(one.close() for one in made.instances))
         await made.add_instance()
         caller = made.caller(_INSTANCES)
@@ -111,8 +108,8 @@
         assert mortal.ended == ended
 
 
-async def test_many_callers_at_once_are_no_way_round() -> None:
-    """Four attempts at a time, five times over."""
+async def test_concurrent_attempts_are_covered() -> None:
+    """Five rounds of four simultaneous attempts."""
     async with _upstreams() as (made, mortal):
         for turn in range(5):
             await asyncio.gather(
@@ -124,24 +121,24 @@
                 ),
             )
             await asyncio.sleep(_PAUSE_S)
-        # The first four begin before the first upstream has ended.
-        assert mortal.ended <= 4 + _BOUND
+        # The first four attempts start before the first upstream has ended.
+        assert mortal.ended <= 4 + _MAX_ENDED
 
 
-async def test_others_are_served_beside_it() -> None:
-    """Runs end with an upstream, and are served once they come again."""
+async def test_other_requests_are_still_served() -> None:
+    """Requests that are lost with an upstream are served when repeated."""
     async with _upstreams() as (made, mortal):
-        fatal = asyncio.create_task(_send_fatal(made, _ASKED))
+        fatal = asyncio.create_task(_send_fatal(made, _ATTEMPTS))
         served = await asyncio.gather(
             *(_ask_until_served(made, f'usual {number}') for number in range(9))
         )
         await fatal
         assert all(served)
-        assert mortal.ended <= _BOUND
+        assert mortal.ended <= _MAX_ENDED
 
 
-async def test_what_all_ends_took_along_is_served_soon() -> None:
-    """The same body runs at all upstreams, which end at once, twice."""
+async def test_a_request_lost_in_simultaneous_ends_is_served_soon() -> None:
+    """The same body runs on all upstreams, which end together twice."""
     async with _upstreams() as (made, mortal):
         for engine in mortal.engines.values():
             engine.first_s = 0.2
@@ -159,8 +156,8 @@
         assert await _ask_until_served(made, 'hello')
 
 
-async def test_a_reset_is_not_an_end() -> None:
-    """The upstreams go on to serve others on connections of their own."""
+async def test_a_connection_reset_is_not_an_end() -> None:
+    """The upstreams keep serving requests on other connections."""
     async with _upstreams(PLAIN, 4) as (made, mortal):
         for serial in range(6):
             for engine in mortal.engines.values():
@@ -176,9 +173,9 @@
 
 
 async def _ask_until_served(made: Deployment, body: str) -> bool:
-    """Return whether a request is served within the time."""
+    """Repeat a request; return whether it is served within the time limit."""
     loop = asyncio.get_running_loop()
-    ends_at = loop.time() + BACK_S + _SOON_S
+    ends_at = loop.time() + BACK_S + _RECOVERY_S
     serial = 0
     while loop.time() < ends_at:
         serial += 1
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers that the system sets itself never come from a caller."""
+"""Headers reserved for the system are never forwarded from a caller."""
 
 import random
 
@@ -10,8 +10,8 @@
 
 from tests.platform.harness import TOKENS, deployment
 
-# As the platform's pages name them.
-_SYSTEMS = (
+# Names from the documentation of the platform.
+_SYSTEM_HEADERS = (
     'X-Tallyhall-Deadline-Ms',
     'X-Tallyhall-Expect-Instance',
     'X-Tallyhall-Expect-Version',
@@ -23,7 +23,7 @@
     'Kv-Fetch',
     'Authorization',
 )
-_CALLERS = (
+_CALLER_HEADERS = (
     'X-Tallyhall-Request-Id',
     'X-Tallyhall-Model',
     'X-Tallyhall-Token-Counts',
@@ -35,7 +35,7 @@
 _INFO = SendInfo(1.5, 'i-1', 'shop', None)
 
 
-def _spelt(name: str, upper: list[bool], dash: str) -> bytes:
+def _spell(name: str, upper: list[bool], dash: str) -> bytes:
     letters = [
         letter.upper() if is_upper else letter.lower()
         for letter, is_upper in zip(name, upper, strict=False)
@@ -43,21 +43,21 @@
     return ''.join(letters).replace('-', dash).encode()
 
 
-_spelling = st.builds(
-    _spelt,
-    st.sampled_from(_SYSTEMS),
+_system_header = st.builds(
+    _spell,
+    st.sampled_from(_SYSTEM_HEADERS),
     st.lists(st.booleans(), min_size=40, max_size=40),
     st.sampled_from('-_'),
 )
-_callers_header = st.sampled_from(_CALLERS).map(str.encode)
+_caller_header = st.sampled_from(_CALLER_HEADERS).map(str.encode)
 
 
 @given(
-    st.lists(_spelling, min_size=1, max_size=8),
-    st.lists(_callers_header, max_size=4, unique=True),
+    st.lists(_system_header, min_size=1, max_size=8),
+    st.lists(_caller_header, max_size=4, unique=True),
     st.randoms(use_true_random=False),
 )
-def test_no_spelling_or_repeat_passes(
+def test_no_spelling_or_repetition_is_forwarded(
     systems: list[bytes],
     callers: list[bytes],
     rng: random.Random,
@@ -65,18 +65,18 @@
     sent = [(name, _FORGED) for name in systems]
     sent.extend((name, b'kept') for name in callers)
     rng.shuffle(sent)
-    written = _written(tuple(sent))
+    written = _upstream_headers(tuple(sent))
     assert _FORGED not in [text for _, text in written]
     assert {name for name, text in written if text == b'kept'} == set(callers)
 
 
-def test_each_that_is_written_is_written_once() -> None:
-    sent = tuple((name.encode(), _FORGED) for name in _SYSTEMS * 2)
-    names = [name.lower() for name, _ in _written(sent)]
+def test_no_header_is_written_twice() -> None:
+    sent = tuple((name.encode(), _FORGED) for name in _SYSTEM_HEADERS * 2)
+    names = [name.lower() for name, _ in _upstream_headers(sent)]
     assert len(names) == len(set(names))
 
 
-def test_every_connection_header_names_what_stays() -> None:
+def test_headers_named_by_connection_are_dropped() -> None:
     sent = (
         (b'Connection', b'close'),
         (b'connection', b'X-One, x-two'),
@@ -84,13 +84,13 @@
         (b'X-Two', b'2'),
         (b'X-Three', b'3'),
     )
-    names = [name for name, _ in _written(sent)]
+    names = [name for name, _ in _upstream_headers(sent)]
     assert b'X-Three' in names
     assert b'X-One' not in names
     assert b'X-Two' not in names
 
 
-async def test_an_upstream_sees_none_of_them() -> None:
+async def test_an_upstream_receives_no_forged_header() -> None:
     async with deployment() as made:
         engine = await made.add_engine('engine-0')
         await made.ready()
@@ -113,6 +113,6 @@
         assert seen['x-tallyhall-tenant'] == 'shop'
 
 
-def _written(sent: Headers) -> Headers:
+def _upstream_headers(sent: Headers) -> Headers:
     head = RequestHead(b'POST', b'/stream/x', sent)
     return PlatformDialect().upstream_headers(head, 5, _INFO)
--- a/tests/platform/test_said.py
+++ b/tests/platform/test_said.py
@@ -1,4 +1,4 @@
-"""What the dialect reads of what an upstream says of itself."""
+"""Parsing of the headers in which upstreams signal their state."""
 
 import pytest
 from hypothesis import given
@@ -13,13 +13,13 @@
     return ResponseHead(status, b'', headers)
 
 
-def test_any_answer_may_say_that_its_upstream_leaves() -> None:
+def test_a_response_of_any_status_may_announce_leaving() -> None:
     dialect = PlatformDialect()
     for status in (200, 404, 500, 503):
         assert dialect.answer(_head(status, _LEAVING)).leaving
     assert not dialect.answer(_head(200)).leaving
     assert not dialect.answer(_head(200, (b'Server-Leaving', b'0'))).leaving
-    # Another one has the address.
+    # 421: another upstream has taken over the address.
     assert not dialect.answer(_head(421, _LEAVING)).leaving
 
 
@@ -36,7 +36,7 @@
         (429, b'3', 0),
     ],
 )
-def test_only_one_that_turns_away_asks_for_rest(
+def test_only_a_503_asks_for_a_backoff(
     status: int,
     text: bytes,
     rest_s: float,
@@ -46,7 +46,7 @@
 
 
 @given(st.binary(max_size=20))
-def test_a_rest_is_within_its_bounds(text: bytes) -> None:
+def test_a_backoff_is_bounded(text: bytes) -> None:
     head = _head(503, (b'Retry-After', text))
     assert 0 <= PlatformDialect().answer(head).rest_s <= 600
 
@@ -63,7 +63,7 @@
         (b'many', None),
     ],
 )
-def test_a_limit_is_a_number_of_requests(
+def test_a_limit_is_a_finite_rate(
     text: bytes,
     limit: float | None,
 ) -> None:
@@ -72,12 +72,12 @@
         said = dialect.answer(_head(status, (b'Server-Limit', text)))
         assert said.limit_per_s == limit
         assert said.unread == (('server-limit',) if limit is None else ())
-    # Another one has the address.
+    # 421: another upstream has taken over the address.
     other = dialect.answer(_head(421, (b'Server-Limit', text)))
     assert other.limit_per_s is None
 
 
-def test_what_nobody_reads_is_named() -> None:
+def test_unknown_upstream_headers_are_reported() -> None:
     said = PlatformDialect().answer(
         _head(
             200,
--- a/tests/platform/test_suspect_jobs.py
+++ b/tests/platform/test_suspect_jobs.py
@@ -1,4 +1,7 @@
-"""Where suspects run: one of a kind at a time, and beside few others."""
+"""Scheduling of suspects: one run per content, next to few other runs.
+
+A suspect is a request whose content may crash upstreams.
+"""
 
 import random
 
@@ -11,8 +14,8 @@
 _BROKEN = RunReport(Ending.unknown, 0.1)
 _ANSWERED = RunReport(Ending.answered, 0.1, 0.05, 5, 0.05)
 _SLOTS = 4
-# Longer than it takes until all know what came of a run.
-_KNOWN_S = 0.2
+# Longer than it takes until all instances know the outcome of a run.
+_SETTLE_S = 0.2
 
 
 def _pool(upstreams: int) -> ServicePool:
@@ -42,7 +45,7 @@
     }
 
 
-def test_attempts_of_a_suspect_run_one_after_another() -> None:
+def test_attempts_of_a_suspect_run_in_turn() -> None:
     pool = _pool(3)
     _ask(pool, _job('first', 'x'))
     _ask(pool, _job('again', 'x'))
@@ -53,18 +56,18 @@
     assert _running(pool).keys() == {'again', 'usual'}
 
 
-def test_one_that_broke_off_is_judged_before_the_next() -> None:
-    """Whoever sent it must hear whether its upstream has ended."""
+def test_a_broken_run_delays_the_next_attempt() -> None:
+    """The sender must first find out whether the upstream has ended."""
     pool = _pool(3)
     _ask(pool, _job('first', 'x'))
     pool.finish('first', _BROKEN, 0.1)
     _ask(pool, _job('again', 'x'), 0.1)
     assert not _running(pool)
-    granted = pool.decide(0.1 + _KNOWN_S)
+    granted = pool.decide(0.1 + _SETTLE_S)
     assert [type(grant) for grant in granted] == [Granted]
 
 
-def test_what_has_begun_to_answer_holds_up_nobody() -> None:
+def test_a_started_answer_delays_no_attempt() -> None:
     pool = _pool(3)
     _ask(pool, _job('first', 'x'))
     pool.first_byte('first')
@@ -72,7 +75,7 @@
     assert _running(pool).keys() == {'first', 'again'}
 
 
-def test_suspects_do_not_begin_beside_each_other() -> None:
+def test_suspects_start_on_different_upstreams() -> None:
     pool = _pool(2)
     for suspect in ('x', 'y', 'z'):
         _ask(pool, _job(suspect, suspect))
@@ -81,7 +84,7 @@
     assert len(set(placed.values())) == 2
 
 
-def test_a_suspect_runs_beside_few() -> None:
+def test_a_suspect_runs_on_the_least_loaded_upstream() -> None:
     pool = _pool(2)
     for number in range(5):
         _ask(pool, _job(f'usual {number}'))
@@ -90,7 +93,7 @@
     assert loads[_running(pool)['suspect']] == min(loads.values())
 
 
-def test_owners_hear_of_suspects() -> None:
+def test_the_owner_receives_the_suspect() -> None:
     ask = peers_pb2.Ask()
     fill_job(ask, _job('first', 'x'), 0)
     assert decode_job(ask, 0).suspect == 'x'
