--- a/packages/edge/src/tallyhall_edge/guard.py
+++ b/packages/edge/src/tallyhall_edge/guard.py
@@ -12,8 +12,8 @@
 class Permit(msgspec.Struct, frozen=True):
     """Permission to send a request once.
 
-    ends: how many upstreams ended while they ran the same content. is_trial: no
-    other request with this content runs on any instance until it is released.
+    ends: number of upstream ends attributed to the content. is_trial: no other
+    request with this content runs anywhere until the permit is released.
     """
 
     ends: int
@@ -24,7 +24,7 @@
     """Tracks by content which requests may crash upstreams."""
 
     def check(self, content: str) -> int:
-        """Return how many upstreams ended while they ran this content.
+        """Return the number of upstream ends attributed to a content.
 
         Raises RefusedError if it is quarantined for now.
         """
