--- a/packages/edge/src/tallyhall_edge/scheduling.py
+++ b/packages/edge/src/tallyhall_edge/scheduling.py
@@ -205,7 +205,7 @@
     def look_at_versions(self) -> None:
         """Switch services to another version if the one in use is absent."""
         now = self._loop.time()
-        if any(one.is_absent(now) for one in self._versions.values()):
+        if any(versions.is_absent(now) for versions in self._versions.values()):
             self.take_upstreams(self._upstreams)
 
     def lead(self, service: str, rollout: Rollout | None) -> None:
@@ -228,7 +228,9 @@
     @property
     def said_to_leave(self) -> tuple[str, ...]:
         """Return the known upstreams that announced that they are leaving."""
-        return tuple(one for one in self._by_incarnation if one in self.leavers)
+        return tuple(
+            name for name in self._by_incarnation if name in self.leavers
+        )
 
     def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
         """Return the time until an upstream is out of backoff, 0 if one is."""
--- a/tests/platform/test_fatal_requests.py
+++ b/tests/platform/test_fatal_requests.py
@@ -100,7 +100,7 @@
         await asyncio.sleep(1)
         ended = mortal.ended
         assert ended <= _MAX_ENDED
-        await asyncio.gather(*(one.close() for one in made.instances))
+        await asyncio.gather(*(node.close() for node in made.instances))
         await made.add_instance()
         caller = made.caller(_INSTANCES)
         answer = await caller.ask('/stream/x', 'late', body=FATAL, **TOKENS)
--- a/tests/platform/test_suspects.py
+++ b/tests/platform/test_suspects.py
@@ -128,9 +128,9 @@
 
 def _standing_after(reports: list[UpstreamEnd | Cleared]) -> Standing:
     suspects = Suspects()
-    for one in reports:
-        if isinstance(one, Cleared):
-            suspects.take_cleared(one, _NOW)
+    for report in reports:
+        if isinstance(report, Cleared):
+            suspects.take_cleared(report, _NOW)
         else:
-            suspects.take_end(one, _NOW)
+            suspects.take_end(report, _NOW)
     return suspects.standing('x', _NOW)
