--- a/packages/dispatch/src/tallyhall_dispatch/__init__.py
+++ b/packages/dispatch/src/tallyhall_dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about requests on an entry instance; no I/O, no clock."""
+"""Request decisions of an entry instance, without I/O or clock access."""
--- a/packages/dispatch/src/tallyhall_dispatch/adoption.py
+++ b/packages/dispatch/src/tallyhall_dispatch/adoption.py
@@ -1,21 +1,22 @@
-"""When a restarted instance may take the use of all from another one.
+"""Decides when a restarted instance may adopt fleet-wide quota use from a peer.
 
-The sum that it takes holds what the sender has heard. What others told this
-instance in the moment before may not be in it yet, and is counted beside it:
-too much rather than too little. So the sum is taken only once all others have
-been heard for that long, and no first report can hide anything older.
+The adopted total contains what the sending peer has received. Use that other
+instances reported to this instance shortly before may not be in it yet, so it
+is added on top: overcounting is safer than undercounting. The total is adopted
+only after every other instance has been heard for that period, so that no
+first report can omit older use.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# Each other has reported to each twice within this time, beats being 0.15 s
-# apart in fleets in which all hear each other.
-_LAG_S = 0.3
+# Within this time every instance has reported to every other one twice: in a
+# full mesh, heartbeats are 0.15 s apart.
+_SETTLE_S = 0.3
 
 
-class _Told(msgspec.Struct, frozen=True):
+class _UseReport(msgspec.Struct, frozen=True):
     workspace: str
     sender: str
     amount: float
@@ -23,19 +24,19 @@
 
 
 class Hearing:
-    """What one instance hears until it knows the use of all."""
+    """Reports received until an instance knows the use of the fleet."""
 
     def __init__(self) -> None:
-        """Start without reports."""
-        self._told: list[_Told] = []
-        # The newest run of each other one, and since when it is heard.
-        self._since: dict[str, tuple[str, float]] = {}
+        """Create an empty record."""
+        self._reports: list[_UseReport] = []
+        # Latest incarnation of each other instance, and its first contact.
+        self._heard_since: dict[str, tuple[str, float]] = {}
 
     def heard(self, sender: str, incarnation: str, now: float) -> None:
-        """Take that another instance has sent something."""
-        run, _ = self._since.get(sender, ('', now))
-        if run != incarnation:
-            self._since[sender] = (incarnation, now)
+        """Record that another instance has sent a message."""
+        known, _ = self._heard_since.get(sender, ('', now))
+        if known != incarnation:
+            self._heard_since[sender] = (incarnation, now)
 
     def reported(
         self,
@@ -44,23 +45,25 @@
         amount: float,
         now: float,
     ) -> None:
-        """Take that another instance admitted this amount."""
-        self._told = [one for one in self._told if now - one.at < _LAG_S]
-        self._told.append(_Told(workspace, sender, amount, now))
+        """Record an amount that another instance reported as admitted."""
+        self._reports = [
+            report for report in self._reports if now - report.at < _SETTLE_S
+        ]
+        self._reports.append(_UseReport(workspace, sender, amount, now))
 
     def heard_long(self, names: frozenset[str], now: float) -> int:
-        """Return how many of these have been heard for long enough."""
+        """Return how many of these instances have been heard long enough."""
         return sum(
-            name in names and now - since >= _LAG_S
-            for name, (_, since) in self._since.items()
+            name in names and now - since >= _SETTLE_S
+            for name, (_, since) in self._heard_since.items()
         )
 
     def just_told(self, workspace: str, but: str, now: float) -> float:
-        """Return what all told lately, but for one of them."""
+        """Return the use reported recently by all instances except `but`."""
         return sum(
-            one.amount
-            for one in self._told
-            if one.workspace == workspace
-            and one.sender != but
-            and now - one.at < _LAG_S
+            report.amount
+            for report in self._reports
+            if report.workspace == workspace
+            and report.sender != but
+            and now - report.at < _SETTLE_S
         )
--- a/packages/dispatch/src/tallyhall_dispatch/desired.py
+++ b/packages/dispatch/src/tallyhall_dispatch/desired.py
@@ -1,7 +1,7 @@
-"""What the operator wants served: routes, services, workspaces, limits.
+"""The operator's desired state: routes, services, workspaces and limits.
 
-All types are frozen. A new version of the desired state replaces the old
-one as a whole, so that a request sees one version from start to end.
+All types are frozen. A new version replaces the old one as a whole, so that a
+request sees the same version from start to end.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @enum.unique
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Which requests of a route may be sent more than once."""
 
     safe = 'safe'
     non_idempotent = 'non_idempotent'
@@ -22,7 +22,7 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A service that a route may use, with its share of the requests."""
+    """A service that a route sends requests to, and its weight among them."""
 
     service: str
     weight: int
@@ -31,9 +31,10 @@
 class Route(msgspec.Struct, frozen=True):
     """One route of a host.
 
-    timeout_s: a final answer is due within this. objective_s: time to the
-    first byte that earns the full benefit. attempts: the most upstreams one
-    request may be sent to. resumable: a broken stream may go on elsewhere.
+    timeout_s: time limit for the complete response. objective_s: target for
+    the time to the first byte. attempts: maximum number of upstreams that one
+    request may be sent to. resumable: whether a broken stream may be resumed
+    on another upstream.
     """
 
     name: str
@@ -52,7 +53,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request may be executed more than once."""
         if self.kind is RouteKind.streaming:
             return self.resumable
         return self.kind is RouteKind.safe
@@ -62,8 +63,8 @@
     """A named group of upstreams.
 
     max_conns: connections that one upstream accepts from all instances
-    together; 0 where no limit is known. event_tokens: tokens in one event
-    of a stream, 0 for services that are no model engines.
+    together, 0 if no limit is known. event_tokens: tokens per stream event,
+    0 for services that are not model engines.
     """
 
     name: str
@@ -72,11 +73,11 @@
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """A workspace and its quota over all instances.
+    """A workspace and its quota across all instances.
 
-    rate: units a second, burst: units at once; 0 means no quota.
-    in_tokens: whether a unit is a token or a request. plain_tokens: tokens
-    of a request that states none.
+    rate: units per second, 0 for no quota. burst: units that may be used at
+    once on top. in_tokens: whether a unit is a token instead of a request.
+    plain_tokens: tokens charged for a request that states no token count.
     """
 
     name: str
@@ -88,7 +89,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """Bounds on what a caller may send, and how long it may take."""
+    """Limits on the size of a request and on the time to receive it."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -97,10 +98,10 @@
 
 
 class DesiredState(msgspec.Struct, frozen=True):
-    """One version of everything the operator wants.
+    """One version of the desired state.
 
-    keys: API keys and the workspace of each. checks_keys: whether a request
-    needs a key unless its route is public.
+    keys: the workspace of each API key. checks_keys: whether requests need an
+    API key on routes that are not public.
     """
 
     version: int
@@ -113,13 +114,13 @@
 
 
 class Upstream(msgspec.Struct, frozen=True):
-    """One incarnation of an engine or of a service's instance.
+    """One incarnation of a model engine or of another service process.
 
-    name: the id that it goes by, which it may keep when it starts again.
-    slots: requests it runs at once. leaving: it has said that it takes no
-    new work. started_ms: Unix time of its start in milliseconds, 0 where an
-    id is new at each start. version: of the software that it runs. canary:
-    only the leader of the version's roll-out places requests there.
+    name: its id, which may stay the same across restarts. slots: number of
+    requests it runs concurrently. leaving: it accepts no new requests.
+    started_ms: Unix time of its start in milliseconds, 0 if its id changes at
+    each start. version: version of its software. canary: only the leader of
+    the version's rollout sends it requests.
     """
 
     name: str
@@ -135,7 +136,7 @@
 
     @property
     def incarnation(self) -> str:
-        """Return what no other start of any upstream is called."""
+        """Return an id that is unique to this start of this upstream."""
         if not self.started_ms:
             return self.name
         return f'{self.name}@{self.started_ms}'
--- a/packages/dispatch/src/tallyhall_dispatch/evidence.py
+++ b/packages/dispatch/src/tallyhall_dispatch/evidence.py
@@ -1,16 +1,17 @@
-"""What answers show of a version on trial, against those of the others.
-
-A bad version fails a part of its answers or takes several times as long for
-them: from the start or later, under load or on one route only. So it is judged
-by route and as a whole, by a sum that grows with each bad answer and falls with
-each good one but not below zero (CUSUM): what was good for long does not cover
-what is bad now. What is bad is held against the other upstreams over the same
-seconds, so that a trouble of all condemns nobody.
-
-Upstreams differ in speed by a factor of five, so an answer is slow against the
-usual one of its own upstream. A version all of whose answers are slow has no
-usual one to show it; it is slow where its upstreams together are far behind the
-others together.
+"""Detects a bad canary version by comparing its responses with the baseline.
+
+A bad version fails some of its responses or takes several times as long for
+them, from the start or later, under load or on a single route. It is therefore
+tested for each route and overall with a CUSUM statistic, a sum of
+log-likelihood ratios that grows with each bad response and falls with each good
+one, but not below zero: a long good period does not mask a later regression.
+The baseline is the bad ratio of the other versions' upstreams over the same
+seconds, so that a fault common to all versions does not condemn the canary.
+
+Upstreams differ in speed by a factor of five, so a response counts as slow
+relative to the typical time of its own upstream. This cannot detect a version
+that is slow from the start; such a version is detected by comparing the mean
+over its upstreams with the mean over the others.
 """
 
 from __future__ import annotations
@@ -26,97 +27,106 @@
 from .jobs import BROKEN_OFF, Ending, Job, RunReport
 from .windows import SlidingSum
 
-# The others' answers are counted over this long, in seconds.
-_COMPARED_S = 4.0
-# Nothing is judged before the others have been seen for so long, in seconds.
-_FIRST_S = 1.0
-# A part of bad answers is taken for at least this, and as if so many more had
-# been seen with it.
-_LEAST_BAD = 0.02
-_ASSUMED = 20
-# A bad version has so much larger a part of bad answers, at least, or so many
-# times the others'.
-_MORE_BAD = 0.15
-_TIMES_BAD = 2.0
-_MOST_BAD = 0.95
-# The sum from which on a version is bad: as much more likely so as e to this.
-_CONDEMNED = 7.0
-# An answer is slow that takes so many times its upstream's usual time.
-_SLOW = 3.0
-# Times of an upstream that are kept for each route, and from how many on the
-# usual one is known.
-_KEPT = 20
-_KNOWN = 5
-# Upstreams of a version from which on it is compared as a whole, and how many
-# times slower a bad one is.
-_COMPARED = 3
-_ALL_SLOW = 2.5
-# Events from which on the pace of a stream tells more than its start.
-_PACED_EVENTS = 3
-# Ends of several runs at one upstream within this time are one end, in seconds.
-_ONE_END_S = 0.5
-_LEAST_S = 0.001
-_WHOLE = ''
-# Endings that say something of the upstream.
-_TELLING = BROKEN_OFF | {Ending.failed, Ending.answered}
+# Length of the baseline window, in seconds.
+_BASELINE_WINDOW_S = 4.0
+# Responses are scored only after so many seconds of observation, so that the
+# baseline exists.
+_MIN_OBSERVED_S = 1.0
+# Prior of the baseline: the lowest bad ratio that is assumed, and the number of
+# responses with that ratio that are added to the observed ones.
+_MIN_BAD_RATIO = 0.02
+_PRIOR_ANSWERS = 20
+# The bad ratio that is tested for: the baseline plus the first value or times
+# the second one, whichever is larger, up to the third.
+_BAD_RATIO_EXCESS = 0.15
+_BAD_RATIO_FACTOR = 2.0
+_MAX_BAD_RATIO = 0.95
+# CUSUM threshold: a bad version is e to the power of this times as likely.
+_CUSUM_THRESHOLD = 7.0
+# A response is slow if it takes this many times its upstream's typical time.
+_SLOW_FACTOR = 3.0
+# Response times kept for each upstream and route, and how many are needed for a
+# typical time.
+_TIMES_KEPT = 20
+_MIN_TIMES = 5
+# Upstreams needed on both sides to compare the speed of versions as a whole,
+# and the slowdown at which the canary is condemned.
+_MIN_UPSTREAMS = 3
+_SLOW_VERSION_FACTOR = 2.5
+# From this many events on, the time between events of a stream is compared
+# instead of the time to its first event.
+_MIN_PACED_EVENTS = 3
+# Runs that break off at one upstream within this time, in seconds, count as one
+# failure.
+_SAME_FAILURE_S = 0.5
+_MIN_TIME_S = 0.001
+_ALL_ROUTES = ''
+# Endings that the upstream is responsible for.
+_UPSTREAM_ENDINGS = BROKEN_OFF | {Ending.failed, Ending.answered}
 
 
 class Tally(msgspec.Struct):
-    """Answers of the version on trial on one route, and the sum over them."""
+    """Response counts and CUSUM score of the canary version on one route."""
 
     answers: int = 0
     bad: int = 0
     score: float = 0
 
 
-class Evidence:
-    """Answers of one service since a roll-out began."""
+class CanaryAnalysis:
+    """Responses of one service since its rollout began."""
 
     def __init__(self, known: Mapping[str, Tally] | None = None) -> None:
-        """Start from what another leader of the roll-out has seen."""
-        # By route; the empty one is all of them together.
+        """Start from the tallies of a previous rollout leader, if any."""
+        # By route; the empty string stands for all routes together.
         self.tallies: dict[str, Tally] = {}
-        # What showed that the version is bad, None as long as nothing did.
-        self.condemned_by: str | None = None
-        self._others: dict[str, _Compared] = collections.defaultdict(_Compared)
-        self._times: dict[tuple[str, bool], _Times] = collections.defaultdict(
-            _Times,
+        # Why the version was found to be bad, None if it was not.
+        self.rejection_reason: str | None = None
+        self._baselines: dict[str, _Baseline] = collections.defaultdict(
+            _Baseline
         )
-        self._cut_at: dict[str, float] = {}
+        self._times: dict[tuple[str, bool], _ResponseTimes] = (
+            collections.defaultdict(
+                _ResponseTimes,
+            )
+        )
+        self._broken_off_at: dict[str, float] = {}
         self._began_at = float('inf')
-        self.add(known or {})
+        self.merge(known or {})
 
     @property
     def answers(self) -> int:
-        """Return how many answers of the version on trial were seen."""
-        return self.tallies.get(_WHOLE, Tally()).answers
+        """Return the number of responses of the canary version."""
+        return self.tallies.get(_ALL_ROUTES, Tally()).answers
 
     @property
     def bad(self) -> int:
-        """Return how many of them were bad."""
-        return self.tallies.get(_WHOLE, Tally()).bad
+        """Return the number of bad responses of the canary version."""
+        return self.tallies.get(_ALL_ROUTES, Tally()).bad
 
-    def add(self, known: Mapping[str, Tally]) -> None:
-        """Take what another leader has seen; the worse one counts."""
+    def merge(self, known: Mapping[str, Tally]) -> None:
+        """Merge the tallies of another leader, keeping the higher values."""
         for route, other in known.items():
             tally = self.tallies.setdefault(route, Tally())
             tally.answers = max(tally.answers, other.answers)
             tally.bad = max(tally.bad, other.bad)
             tally.score = max(tally.score, other.score)
-            self._judge(route, tally)
+            self._check_score(route, tally)
 
-    def copied(self) -> Mapping[str, Tally]:
-        """Return the tallies as they stand."""
+    def copy_tallies(self) -> Mapping[str, Tally]:
+        """Return a copy of the tallies."""
         return {
             route: msgspec.structs.replace(tally)
             for route, tally in self.tallies.items()
         }
 
-    def look(self) -> None:
-        """Look whether the version is slow as a whole."""
+    def check_speed(self) -> None:
+        """Check whether the canary version is slow as a whole."""
         for route, is_canary in tuple(self._times):
-            if is_canary and self._is_slow_as_a_whole(route):
-                self.condemned_by = self.condemned_by or f'pace of {route}'
+            if is_canary and self._is_slow_version(route):
+                self.rejection_reason = (
+                    self.rejection_reason or f'slow responses on {route}'
+                )
 
     def note(
         self,
@@ -127,22 +137,22 @@
         *,
         canary: bool,
     ) -> None:
-        """Take how a run ended; what says nothing of the upstream is none."""
-        if report.ending not in _TELLING:
+        """Record how a run ended, unless the upstream did not cause its end."""
+        if report.ending not in _UPSTREAM_ENDINGS:
             return
-        if report.ending in BROKEN_OFF and self._is_same_end(upstream, now):
+        if report.ending in BROKEN_OFF and self._is_same_failure(upstream, now):
             return
         bad = report.ending is not Ending.answered
         if not bad:
             bad = self._is_slow(job, upstream, report, canary=canary)
         self._began_at = min(self._began_at, now)
-        for route in (job.route, _WHOLE):
+        for route in (job.route, _ALL_ROUTES):
             if canary:
-                self._take(route, now, bad=bad)
+                self._score(route, now, bad=bad)
             else:
-                self._others[route].note(now, bad=bad)
+                self._baselines[route].note(now, bad=bad)
 
-    # -- inner steps
+    # -- internal
 
     def _is_slow(
         self,
@@ -152,98 +162,108 @@
         *,
         canary: bool,
     ) -> bool:
-        """Return whether an answer is slow for its upstream, and keep it.
+        """Return whether a response is slow for its upstream, and record it.
 
-        One that is not known yet is held against the slowest of the others.
+        An upstream without a typical time yet is compared with the slowest
+        upstream of the other versions.
         """
         times = self._times[job.route, canary]
         time_s = _time_s(job, report)
-        usual = times.usual_of(upstream)
-        if usual is None:
-            others = self._times[job.route, False].usual()
-            usual = max(others, default=None)
+        typical = times.typical_of(upstream)
+        if typical is None:
+            others = self._times[job.route, False].all_typical()
+            typical = max(others, default=None)
         times.add(upstream, time_s)
-        return usual is not None and time_s > _SLOW * usual
-
-    def _is_same_end(self, upstream: str, now: float) -> bool:
-        """Return whether an upstream ended just now under another run."""
-        last_at = self._cut_at.get(upstream, float('-inf'))
-        self._cut_at[upstream] = now
-        return now - last_at < _ONE_END_S
-
-    def _take(self, route: str, now: float, *, bad: bool) -> None:
-        usual = self._others[route].bad_part(now)
-        worse = min(_MOST_BAD, max(usual + _MORE_BAD, _TIMES_BAD * usual))
+        return typical is not None and time_s > _SLOW_FACTOR * typical
+
+    def _is_same_failure(self, upstream: str, now: float) -> bool:
+        """Return whether another run at the upstream has just broken off."""
+        last_at = self._broken_off_at.get(upstream, float('-inf'))
+        self._broken_off_at[upstream] = now
+        return now - last_at < _SAME_FAILURE_S
+
+    def _score(self, route: str, now: float, *, bad: bool) -> None:
+        baseline = self._baselines[route].bad_ratio(now)
+        tested = min(
+            _MAX_BAD_RATIO,
+            max(baseline + _BAD_RATIO_EXCESS, _BAD_RATIO_FACTOR * baseline),
+        )
         tally = self.tallies.setdefault(route, Tally())
         tally.answers += 1
         tally.bad += bad
-        if worse <= usual or now - self._began_at < _FIRST_S:
+        if tested <= baseline or now - self._began_at < _MIN_OBSERVED_S:
             return
-        likelier = worse / usual if bad else (1 - worse) / (1 - usual)
-        tally.score = max(0, tally.score + math.log(likelier))
-        self._judge(route, tally)
-
-    def _judge(self, route: str, tally: Tally) -> None:
-        if tally.score >= _CONDEMNED and self.condemned_by is None:
-            self.condemned_by = f'answers of {route or "all routes"}'
-
-    def _is_slow_as_a_whole(self, route: str) -> bool:
-        ours = self._times[route, True].usual()
-        others = self._times[route, False].usual()
-        if len(ours) < _COMPARED or len(others) < _COMPARED:
+        ratio = tested / baseline if bad else (1 - tested) / (1 - baseline)
+        tally.score = max(0, tally.score + math.log(ratio))
+        self._check_score(route, tally)
+
+    def _check_score(self, route: str, tally: Tally) -> None:
+        if tally.score >= _CUSUM_THRESHOLD and self.rejection_reason is None:
+            self.rejection_reason = f'bad responses on {route or "all routes"}'
+
+    def _is_slow_version(self, route: str) -> bool:
+        canaries = self._times[route, True].all_typical()
+        others = self._times[route, False].all_typical()
+        if len(canaries) < _MIN_UPSTREAMS or len(others) < _MIN_UPSTREAMS:
             return False
-        slower = statistics.geometric_mean(ours)
-        return slower > _ALL_SLOW * statistics.geometric_mean(others)
+        mean_s = statistics.geometric_mean(canaries)
+        return mean_s > _SLOW_VERSION_FACTOR * statistics.geometric_mean(others)
 
 
-class _Compared:
-    """How many answers of the others there were lately, and bad ones."""
+class _Baseline:
+    """Responses of the other versions within the baseline window."""
 
     def __init__(self) -> None:
-        self._answers = SlidingSum(_COMPARED_S)
-        self._bad = SlidingSum(_COMPARED_S)
+        self._answers = SlidingSum(_BASELINE_WINDOW_S)
+        self._bad = SlidingSum(_BASELINE_WINDOW_S)
 
     def note(self, now: float, *, bad: bool) -> None:
         self._answers.add(1, now)
         if bad:
             self._bad.add(1, now)
 
-    def bad_part(self, now: float) -> float:
-        answers = self._answers.total(now) + _ASSUMED
-        bad = self._bad.total(now) + _ASSUMED * _LEAST_BAD
-        return max(_LEAST_BAD, bad / answers)
+    def bad_ratio(self, now: float) -> float:
+        answers = self._answers.total(now) + _PRIOR_ANSWERS
+        bad = self._bad.total(now) + _PRIOR_ANSWERS * _MIN_BAD_RATIO
+        return max(_MIN_BAD_RATIO, bad / answers)
 
 
-class _Times:
-    """Times of the answers on one route, by upstream."""
+class _ResponseTimes:
+    """Recent response times on one route, by upstream."""
 
     def __init__(self) -> None:
         self._kept: dict[str, collections.deque[float]] = {}
 
     def add(self, upstream: str, time_s: float) -> None:
-        """Keep a time."""
-        times = self._kept.setdefault(upstream, collections.deque([], _KEPT))
+        """Add a response time."""
+        times = self._kept.setdefault(
+            upstream, collections.deque([], _TIMES_KEPT)
+        )
         times.append(time_s)
 
-    def usual_of(self, upstream: str) -> float | None:
-        """Return the usual time of an upstream, None if it is not known."""
+    def typical_of(self, upstream: str) -> float | None:
+        """Return the typical time of an upstream, None if it is not known."""
         times = self._kept.get(upstream, ())
-        return _usual(times) if len(times) >= _KNOWN else None
+        return _typical(times) if len(times) >= _MIN_TIMES else None
 
-    def usual(self) -> list[float]:
-        """Return the usual time of each upstream that is known."""
-        found = map(self.usual_of, self._kept)
-        return [usual for usual in found if usual is not None]
+    def all_typical(self) -> list[float]:
+        """Return the typical times of all upstreams that have one."""
+        found = map(self.typical_of, self._kept)
+        return [typical for typical in found if typical is not None]
 
 
-def _usual(times: Collection[float]) -> float:
-    # A part of the answers may be slow; what the quicker ones take is usual.
+def _typical(times: Collection[float]) -> float:
+    # The first quartile, since some of the responses may be slow.
     return sorted(times)[len(times) // 4]
 
 
 def _time_s(job: Job, report: RunReport) -> float:
-    """Return the time of an answer for what was to be done."""
-    if report.events >= _PACED_EVENTS:
-        return max(report.stream_s, _LEAST_S) / (report.events - 1)
+    """Return the response time relative to the amount of work.
+
+    For a long stream, this is the time between events, otherwise the time to
+    the first event (or the total time) by expected prefill time.
+    """
+    if report.events >= _MIN_PACED_EVENTS:
+        return max(report.stream_s, _MIN_TIME_S) / (report.events - 1)
     work_s = FIRST_FIXED_S + job.prompt_tokens * FIRST_TOKEN_S
-    return max(report.first_s or report.total_s, _LEAST_S) / work_s
+    return max(report.first_s or report.total_s, _MIN_TIME_S) / work_s
--- a/packages/dispatch/src/tallyhall_dispatch/gate.py
+++ b/packages/dispatch/src/tallyhall_dispatch/gate.py
@@ -1,8 +1,8 @@
-"""Whether a request may enter: route, API key, freshness, quota.
+"""Admission of requests by route, API key, state freshness and quota.
 
-Everything is decided from this instance's own state. The order matters to
-callers: without a desired state nothing is known, so nobody is told that a
-path or key does not exist.
+All checks use this instance's local state. Their order is visible to callers:
+an instance without a desired state knows no routes or keys, so it does not
+answer that a path or a key does not exist.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from .retries import RetryBudget, RetryLimits
 from .routing import Router, pick_service
 
-# Told to callers where only time helps: until a restarted instance has read
-# the desired state, or a lost store is back. Seconds.
-_STATE_RETRY_S = 0.5
+# Retry-after time in seconds while the desired state is missing or stale: until
+# a restarted instance has read it, or the store is reachable again.
+_STATE_RETRY_AFTER_S = 0.5
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """A request that may run, and on what grounds.
+    """An admitted request and the data that admission was based on.
 
-    over_quota_s: 0, or the time until the request would fit into the quota
-    of its workspace; it then runs on places that nobody else needs. seen:
-    what was known of the quota, None without one. charged_at: when it was
-    charged.
+    over_quota_s: 0, or the time until the request would fit into the quota of
+    its workspace; such a request runs only on slots that are otherwise free.
+    seen: what was known about the quota, None if there is none. charged_at:
+    when the quota was charged.
     """
 
     route: Route
@@ -45,7 +45,7 @@
 
 
 class OverQuotaError(RefusedError):
-    """A request is refused for the quota of its workspace."""
+    """A request was refused because its workspace is over its quota."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         workspace: str,
         asked: float,
     ) -> None:
-        """Keep the refusal and what decided: what was asked, and of whose."""
+        """Store the refusal, the quota state, the workspace and the amount."""
         super().__init__(refusal)
         self.seen = seen
         self.workspace = workspace
@@ -68,7 +68,7 @@
 
 
 class Gate:
-    """Lets requests in, by the newest desired state."""
+    """Admits requests according to the latest desired state."""
 
     def __init__(
         self,
@@ -89,11 +89,11 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, -1 before the first."""
+        """Return the version of the desired state, -1 before the first one."""
         return -1 if self._router is None else self._router.state.version
 
     def take_state(self, state: DesiredState) -> None:
-        """Put a newer desired state in force."""
+        """Apply a newer desired state."""
         self._router = Router(state)
         self.quotas.configure(state.workspaces)
 
@@ -105,10 +105,10 @@
         tokens: int,
         now: float,
     ) -> Admitted:
-        """Return the grounds on which a request enters; raise RefusedError."""
+        """Admit a request or raise RefusedError."""
         router = self._router
         if router is None:
-            raise _refused(Reason.not_ready, _STATE_RETRY_S)
+            raise _refused(Reason.not_ready, _STATE_RETRY_AFTER_S)
         route = router.route(host, path)
         if route is None:
             self._check_fresh(now)
@@ -135,7 +135,7 @@
         )
 
     def still_holds(self, admitted: Admitted, now: float) -> bool:
-        """Return whether a request may still be sent after its wait."""
+        """Return whether a request may still be sent after it was queued."""
         if admitted.workspace is None or self._router is None:
             return True
         if not self.freshness.holds(now):
@@ -143,7 +143,7 @@
         return self._router.workspace(admitted.key) is not None
 
     def give_back(self, admitted: Admitted, now: float) -> None:
-        """Return the quota of a request that did not run."""
+        """Refund the quota charged for a request that did not run."""
         if admitted.workspace is not None:
             self.quotas.give_back(
                 admitted.workspace.name,
@@ -153,7 +153,7 @@
             )
 
     def may_repeat(self, service: str, now: float) -> bool:
-        """Spend one further send; return whether the budget allows it."""
+        """Charge a retry to the budget; return whether it is allowed."""
         return self.budget(service).take(now, self.instances)
 
     def budget(self, service: str) -> RetryBudget:
@@ -166,7 +166,7 @@
 
     def _check_fresh(self, now: float) -> None:
         if not self.freshness.holds(now):
-            raise _refused(Reason.state_not_confirmed, _STATE_RETRY_S)
+            raise _refused(Reason.state_not_confirmed, _STATE_RETRY_AFTER_S)
 
     def _charge(
         self,
--- a/packages/dispatch/src/tallyhall_dispatch/leavers.py
+++ b/packages/dispatch/src/tallyhall_dispatch/leavers.py
@@ -1,8 +1,8 @@
-"""Upstreams that said themselves that they leave.
+"""Upstreams that announced in a response that they are shutting down.
 
-Their entries in the store may say so much later, or never where the store is
-away. What was said holds for the rest of an upstream's life: a start has an
-incarnation of its own.
+Their entries in the store may be marked much later, or not at all while the
+store is unreachable. An announcement is final for an incarnation, since each
+start of an upstream has an incarnation of its own.
 """
 
 from __future__ import annotations
@@ -11,33 +11,33 @@
 
 from .desired import Upstream
 
-# Those that are remembered; a fleet of some hundred upstreams replaces each
-# a few times before the first is forgotten.
-_MOST_KEPT = 2000
+# Maximum number of incarnations kept: enough for several hundred upstreams to
+# be replaced a few times each before the oldest is dropped.
+_MAX_KEPT = 2000
 
 
 class Leavers:
-    """The incarnations that said so, newest last."""
+    """The incarnations that announced their shutdown, newest last."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._said: dict[str, None] = {}
+        """Create an empty collection."""
+        self._announced: dict[str, None] = {}
 
     def __contains__(self, incarnation: str) -> bool:
-        """Return whether an upstream said that it leaves."""
-        return incarnation in self._said
+        """Return whether an upstream announced its shutdown."""
+        return incarnation in self._announced
 
     def add(self, incarnation: str) -> bool:
-        """Take that one said so; return whether it is news."""
-        if incarnation in self._said:
+        """Record an announcement; return whether it is new."""
+        if incarnation in self._announced:
             return False
-        self._said[incarnation] = None
-        if len(self._said) > _MOST_KEPT:
-            self._said.pop(next(iter(self._said)))
+        self._announced[incarnation] = None
+        if len(self._announced) > _MAX_KEPT:
+            self._announced.pop(next(iter(self._announced)))
         return True
 
     def marked(self, upstream: Upstream) -> Upstream:
-        """Return an upstream as it is, with what it said."""
-        if upstream.leaving or upstream.incarnation not in self._said:
+        """Return the upstream, set to leaving if it announced its shutdown."""
+        if upstream.leaving or upstream.incarnation not in self._announced:
             return upstream
         return msgspec.structs.replace(upstream, leaving=True)
--- a/packages/dispatch/src/tallyhall_dispatch/options.py
+++ b/packages/dispatch/src/tallyhall_dispatch/options.py
@@ -1,4 +1,4 @@
-"""Everything an entry instance is told when it starts, in one typed object."""
+"""Typed startup options of an entry instance."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class StoreOptions(msgspec.Struct, frozen=True):
-    """Where the store is and how entries live in it.
+    """Address of the store and lease times of entries in it.
 
-    least_lease_s: shortest lease. heartbeat_s: how often, about, an upstream
-    writes its entry; one that is silent for three times as long lapses.
+    least_lease_s: minimum lease time. heartbeat_s: approximate interval at
+    which an upstream writes its entry; the entry expires after three of them.
     """
 
     address: Listening
@@ -29,14 +29,14 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Times and shares that the operators promise to callers.
-
-    revoke_s: longest time that a revoked key may work. grace_s: time between
-    the signal to stop and the end by force. contact_s: how long after its
-    way to the store is whole again an instance must know what changed.
-    change_s: how long a change may take to be in force everywhere.
-    exposed_share, exposed_allowance: the most requests that a bad version
-    may get, as a part of all and beside it.
+    """Limits that the operators guarantee to callers.
+
+    revoke_s: maximum time for which a revoked key is still accepted. grace_s:
+    time between the stop signal and the forced kill. contact_s: time within
+    which an instance must know all changes after its connection to the store
+    is restored. change_s: time within which a change must be in effect on all
+    instances. exposed_share, exposed_allowance: a bad version may get at most
+    this fraction of all requests plus this number of requests.
     """
 
     revoke_s: float
@@ -54,7 +54,7 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """One instance's settings."""
+    """Options of one instance."""
 
     instance: str
     zone: str
@@ -67,5 +67,5 @@
     store: StoreOptions
     bounds: Bounds
     descriptors: int
-    # Processor time in a second of a usual core.
+    # Available CPU time in seconds per second, on a typical core.
     cores: float
--- a/packages/dispatch/src/tallyhall_dispatch/ownership.py
+++ b/packages/dispatch/src/tallyhall_dispatch/ownership.py
@@ -1,20 +1,21 @@
-"""Which instance queues the jobs of a service.
+"""Selects the instance that queues the jobs of a service.
 
-The owner is soft: the first in rendezvous order among the instances heard
-from a moment ago. Two instances that disagree for a while cost some order
-in the queue and nothing else, so nothing is agreed on or stored.
+The owner is the first instance in rendezvous-hash order among those that were
+heard recently. Instances may disagree about it for a while; this only affects
+the order of the queue, so ownership needs no consensus and is not stored.
 """
 
 from __future__ import annotations
 
 from tallyhall_membership.rendezvous import rank
 
-# Instances that are asked in turn before an instance decides alone.
-_CANDIDATES = 3
+# Number of owner candidates that an instance asks in turn before it decides on
+# its own.
+_MAX_CANDIDATES = 3
 
 
 class Ownership:
-    """Owners of services for one set of live instances."""
+    """Owners of services for the current set of live instances."""
 
     def __init__(self) -> None:
         """Start without instances."""
@@ -22,7 +23,7 @@
         self._owners: dict[str, tuple[str, ...]] = {}
 
     def take_live(self, live: frozenset[str]) -> bool:
-        """Take the live instances; return whether they changed."""
+        """Update the live instances; return whether they changed."""
         if live == self._live:
             return False
         self._live = live
@@ -35,14 +36,14 @@
         return self._live
 
     def owner(self, service: str) -> str | None:
-        """Return the owner of a service, None if nobody is live."""
+        """Return the owner of a service, None if no instance is live."""
         owners = self.owners(service)
         return owners[0] if owners else None
 
     def owners(self, service: str) -> tuple[str, ...]:
-        """Return who owns a service, and who does if those before are lost."""
+        """Return the owner of a service, followed by its successors."""
         known = self._owners.get(service)
         if known is None:
-            known = tuple(rank(service, self._live)[:_CANDIDATES])
+            known = tuple(rank(service, self._live)[:_MAX_CANDIDATES])
             self._owners[service] = known
         return known
--- a/packages/dispatch/src/tallyhall_dispatch/quota_limits.py
+++ b/packages/dispatch/src/tallyhall_dispatch/quota_limits.py
@@ -1,4 +1,4 @@
-"""What a workspace may use, by its quota and by how much is known of others."""
+"""Limits of a workspace by its quota and by the known part of the fleet."""
 
 from __future__ import annotations
 
@@ -7,40 +7,42 @@
 from .desired import Workspace
 from .topology import is_mesh
 
-# Use above this part of a quota is told to all with every beat, so that
-# those that do not hear each other know it from one that hears all; what is
-# used below it cannot exceed a quota together with their own.
-_HIGH_PART = 0.5
-# Use below this part of a quota is calm: what all admit in a surge until a
-# silence of 1.5 beats is seen stays in the quota, with the beats of a mesh and
-# with the longest ones of a large fleet.
-_CALM_PART = 0.65
-_CALM_PART_MESH = 0.8
-# Part of the granted slack that lone instances may use together; the rest
-# covers what is admitted between two reports.
-_SLACK_PART = 0.5
-# Part of what a quota may be exceeded by that is given to requests above it
-# while places are free. The rest is for what is admitted between two reports.
-_SPARE_PART = 0.5
-# Of what is left while the use is calm, so much may be admitted here before it
-# is counted, and at any time by one request in a large fleet: a large request
-# does not fit into an even share.
-_CALM_SHARE = 1 / 8
-# In a large fleet at most that many parts of what is left are shared out among
-# all, since the more instances there are, the more of them admit something
-# until they hear of each other: 25 are eighths at 200 instances.
-_SHARES_AT_ONCE = 25
-# Of what a quota may be exceeded by, so much may be admitted unheard of while
-# all news come in time.
-_UNHEARD_PART = 0.25
-# Least time between two questions for the use of all from an instance, in
-# seconds, and how many of them a hub gets in a second at most.
-_NEWS_S = 0.1
-_MOST_NEWS_PER_S = 1000
+# Use above this fraction of a quota is reported by hubs with every heartbeat,
+# so that instances without a direct connection know each other's use.
+# Unreported use below it cannot exceed a quota together with an instance's own
+# use.
+_HIGH_USE_FRACTION = 0.5
+# Use below this fraction of a quota is low: even in a surge, the admissions of
+# all instances stay within the quota until a silence of 1.5 heartbeats is
+# detected. The value for large fleets allows for their longest heartbeat
+# interval, the other one for the interval in a mesh.
+_LOW_USE_FRACTION = 0.65
+_LOW_USE_FRACTION_MESH = 0.8
+# Fraction of the maximum overshoot that isolated instances may use together;
+# the rest covers admissions between two reports.
+_ISOLATED_FRACTION = 0.5
+# Fraction of the maximum overshoot for requests above the quota while slots are
+# free; the rest covers admissions between two reports.
+_SPARE_FRACTION = 0.5
+# Fraction of the remaining quota that an instance may admit before it is
+# counted while use is low, and in a large fleet at any time with a single
+# request: a large request does not fit into an equal share.
+_MAX_ENLARGED_SHARE = 1 / 8
+# Limits the sum of the enlarged shares of all instances to this many times the
+# remaining quota: the more instances there are, the more of them admit before
+# they receive each other's reports. At 200 instances, 25 allows shares of 1/8.
+_MAX_ENLARGED_SUM = 25
+# Fraction of the maximum overshoot that may be admitted unreported while all
+# reports arrive in time.
+_UNREPORTED_FRACTION = 0.25
+# Minimum interval, in seconds, at which an instance requests the fleet's use,
+# and the maximum number of such requests that a hub receives per second.
+_MIN_REFRESH_S = 0.1
+_MAX_REFRESHES_PER_S = 1000
 
 
 class QuotaBounds(msgspec.Struct, frozen=True):
-    """How quotas are measured and by how much they may be exceeded."""
+    """The window of quotas, and by how much they may be exceeded."""
 
     window_s: float
     overshoot: float
@@ -48,11 +50,12 @@
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """How much of the fleet reports here; heard is a part of one.
+    """How much of the fleet this instance hears.
 
-    known_at: what this instance had admitted by then is known to all that
-    it hears, None where it hears nobody else. counted_at: to one that tells
-    all, None while any may be cut off.
+    heard: fraction of the fleet that is heard. known_at: admissions made here
+    up to this time are known to all instances that are heard, None if no other
+    is. counted_at: the same for an instance that reports to all others, None
+    while any instance may be cut off.
     """
 
     instances: int = 1
@@ -62,17 +65,17 @@
 
     @property
     def is_mesh(self) -> bool:
-        """Return whether each instance hears all others itself."""
+        """Return whether all instances are connected to each other."""
         return is_mesh(self.instances)
 
     @property
-    def news_s(self) -> float:
-        """Return how often hubs are told and asked of a quota used much."""
-        return max(_NEWS_S, self.instances / _MOST_NEWS_PER_S)
+    def refresh_s(self) -> float:
+        """Return the interval between requests for the use of high quotas."""
+        return max(_MIN_REFRESH_S, self.instances / _MAX_REFRESHES_PER_S)
 
 
 class QuotaLimits(msgspec.Struct, frozen=True):
-    """The amounts that bind one workspace now."""
+    """The limits that currently apply to one workspace."""
 
     workspace: Workspace
     bounds: QuotaBounds
@@ -80,51 +83,56 @@
 
     @property
     def quota(self) -> float:
-        """Return what may be used in any window."""
+        """Return the quota for any window."""
         workspace = self.workspace
         return workspace.rate * self.bounds.window_s + workspace.burst
 
     @property
-    def beyond(self) -> float:
-        """Return by how much the operators let a quota be exceeded."""
+    def max_overshoot(self) -> float:
+        """Return by how much the quota may be exceeded."""
         return self.quota * self.bounds.overshoot + self.bounds.slack
 
     @property
     def ceiling(self) -> float:
-        """Return a quota with what requests above it may have together."""
-        return self.quota + _SPARE_PART * self.beyond
+        """Return the limit for requests above the quota on free slots."""
+        return self.quota + _SPARE_FRACTION * self.max_overshoot
 
     @property
     def allowed(self) -> float:
-        """Return what may be used of a quota where a part is not heard."""
+        """Return the usable quota, reduced by the unheard part of the fleet."""
         if self.fleet.heard >= 1:
             return self.quota
-        alone = self.beyond * _SLACK_PART / self.fleet.instances
-        return min(self.quota, self.quota * self.fleet.heard + alone)
+        extra = self.max_overshoot * _ISOLATED_FRACTION / self.fleet.instances
+        return min(self.quota, self.quota * self.fleet.heard + extra)
 
     @property
-    def high(self) -> float:
-        """Return the use above which all are told of it."""
-        return _HIGH_PART * self.quota
+    def high_threshold(self) -> float:
+        """Return the use above which hubs report it with every heartbeat."""
+        return _HIGH_USE_FRACTION * self.quota
 
     @property
-    def generous_part(self) -> float:
-        """Return the most of what is left that one may admit unheard of."""
-        return min(_CALM_SHARE, _SHARES_AT_ONCE / self.fleet.instances)
-
-    def is_calm(self, used: float) -> bool:
-        """Return whether what others admit meanwhile does not decide."""
-        part = _CALM_PART_MESH if self.fleet.is_mesh else _CALM_PART
-        return used < part * self.quota
-
-    def reserve(self, unheard: float) -> float:
-        """Return what must be left for what others admit, unheard of yet."""
-        return max(0, unheard - _UNHEARD_PART * self.beyond)
-
-    def left(self, known: float) -> float:
-        """Return what all may admit yet, of a use that all know."""
-        left = self.ceiling if self.fleet.heard >= 1 else self.allowed
+    def enlarged_share(self) -> float:
+        """Return the maximum fraction of the remaining quota per instance."""
+        return min(
+            _MAX_ENLARGED_SHARE,
+            _MAX_ENLARGED_SUM / self.fleet.instances,
+        )
+
+    def is_low_use(self, used: float) -> bool:
+        """Return whether unreported admissions cannot exceed the quota."""
+        fraction = (
+            _LOW_USE_FRACTION_MESH if self.fleet.is_mesh else _LOW_USE_FRACTION
+        )
+        return used < fraction * self.quota
+
+    def reserve(self, unreported: float) -> float:
+        """Return what must be reserved for unreported admissions of others."""
+        return max(0, unreported - _UNREPORTED_FRACTION * self.max_overshoot)
+
+    def remaining(self, known: float) -> float:
+        """Return what all instances together may still admit."""
+        limit = self.ceiling if self.fleet.heard >= 1 else self.allowed
         if self.fleet.is_mesh:
-            return left - known
-        # Hubs do not tell of less.
-        return left - max(known, self.high)
+            return limit - known
+        # Hubs do not report lower use.
+        return limit - max(known, self.high_threshold)
--- a/packages/dispatch/src/tallyhall_dispatch/quota_use.py
+++ b/packages/dispatch/src/tallyhall_dispatch/quota_use.py
@@ -1,9 +1,9 @@
-"""What is known of the use of one workspace's quota.
+"""Known use of one workspace's quota.
 
-An instance knows what it admitted itself, what others told of themselves, and
-what hubs, which hear all, told of all. One that has restarted knows in
-addition what all had used before: from an instance that did not restart, or
-from the store.
+An instance knows its own admissions, the admissions that others reported of
+themselves, and the use of the fleet as reported by hubs, which hear all
+instances. A restarted instance also knows the earlier use of the fleet, from an
+instance that did not restart or from the store.
 """
 
 from __future__ import annotations
@@ -15,42 +15,42 @@
 
 from .desired import Workspace
 from .outstanding import Outstanding
-from .topology import LONGEST_BEAT_S
+from .topology import MAX_BEAT_S
 from .windows import SlidingSum
 
-# What hubs know is told with each of their beats. What is older than the newest
-# that is heard by two of them is replaced by it; what nobody replaces still
-# counts. The rest is for timers that fire late.
-_HEARD_S = 2 * LONGEST_BEAT_S + 0.1
-# Returns are told by then, with one of two beats.
-_RETURNS_TOLD_S = _HEARD_S
-# The sum of a window moves in steps of this part of it, and a step counts until
-# its newest amount is out.
-_STEPS = 160
-# The rate of the use of all is the larger one over these spans, in seconds: a
-# surge shows in the short one as soon as it is told.
-_RATE_S = 0.5
-_SURGE_S = 0.2
-# A use that grows by more than so many times what its quota allows is a surge.
-_SURGE = 2.0
-# Parts of a window in which an amount is told with its age: each counts up to
-# an eighth of the window too long.
-_TOLD_PARTS = 8
-
-# Ages in seconds and the amounts that were admitted then.
+# Hubs report the fleet's use with each heartbeat. A report that is older than
+# the newest one by two heartbeats is superseded; without a newer one it still
+# counts. The extra 0.1 s allows for timers that fire late.
+_REPORT_VALID_S = 2 * MAX_BEAT_S + 0.1
+# Refunds are reported within this time, with one of two heartbeats.
+_REFUNDS_KEPT_S = _REPORT_VALID_S
+# Number of buckets in a window. A bucket counts until its newest amount has
+# left the window.
+_BUCKETS = 160
+# The fleet's admission rate is the larger of its means over these two periods,
+# in seconds: the short one shows a surge as soon as it is reported.
+_RATE_PERIOD_S = 0.5
+_SURGE_PERIOD_S = 0.2
+# Use that grows faster than its quota's rate by this factor is a surge.
+_SURGE_FACTOR = 2.0
+# Number of age steps per window in which amounts are reported; an amount may
+# therefore count for up to an eighth of the window too long.
+_REPORTED_STEPS = 8
+
+# Amounts admitted, each preceded by its age in seconds.
 Parts = tuple[tuple[float, float], ...]
 
 
 class UseReport(msgspec.Struct, frozen=True):
     """One workspace's use as an instance reports it.
 
-    total: admitted by the instance since its start. within_window: of that
-    in the last window. fleet: admitted by all instances in the last window,
-    as far as the instance knows. rate: the same in a second, of late. leaves:
-    what of it leaves the window in the next second. is_high: whether that is
-    much of the quota. returned: of the total, what did not
-    run. oldest_return_s: seconds from charge to return of the one among the
-    last returns that waited longest.
+    total: admitted by the instance since its start. within_window: admitted by
+    it in the last window. fleet: admitted by all instances in the last window,
+    as far as the instance knows. rate: recent admissions of all instances per
+    second. leaves: amount per second that is about to leave the window.
+    is_high: whether the fleet's use is high. returned: part of the total that
+    was refunded. oldest_return_s: longest time from charge to refund among the
+    recent refunds, in seconds.
     """
 
     total: float
@@ -64,11 +64,11 @@
 
 
 class FleetUse(msgspec.Struct, frozen=True):
-    """The use of all as another instance, which hears more, has counted it.
+    """The use of the fleet as counted by another instance, such as a hub.
 
-    amount: within the last window. counted: of the total of the instance
-    that is told. rate: what is admitted in a second, of late. leaves: what
-    leaves the window in one, soon.
+    amount: use within the last window. counted: total of the receiving instance
+    that is included in it. rate: recent admissions per second. leaves: amount
+    per second that is about to leave the window.
     """
 
     sender: str
@@ -79,8 +79,8 @@
     leaves: float = 0
 
 
-class _Return(msgspec.Struct, frozen=True):
-    """What was given back; `returned` is the sum of all up to this one."""
+class _Refund(msgspec.Struct, frozen=True):
+    """A refund; `returned` is the sum of all refunds up to this one."""
 
     at: float
     charged_at: float
@@ -89,7 +89,7 @@
 
 
 class Use:
-    """One workspace's use as known on one instance."""
+    """The use of one workspace as known on one instance."""
 
     def __init__(
         self,
@@ -97,93 +97,95 @@
         window_s: float,
         known_from: float,
     ) -> None:
-        """Start without any.
+        """Start without any use.
 
-        known_from: from when on the use of all is reported here.
+        known_from: time from which the use of all instances is reported here.
         """
         self.workspace = workspace
         self.total: float = 0
-        # Admitted by all since this instance knows them.
+        # Admitted by all instances since they are known here.
         self.fleet_total: float = 0
-        self.written_total: float | None = None
-        self.own = SlidingSum(window_s, _STEPS)
+        self.persisted_total: float | None = None
+        self.own = SlidingSum(window_s, _BUCKETS)
         self.outstanding = Outstanding()
         self.returned: float = 0
-        self.heard: dict[str, FleetUse] = {}
+        self.fleet_uses: dict[str, FleetUse] = {}
         self._window_s = window_s
-        self._reported = SlidingSum(window_s, _STEPS)
+        self._reported = SlidingSum(window_s, _BUCKETS)
         self._known_from = known_from
-        # Of others, what was used before that and all that is reported since.
-        # What they report may lack those that have ended, this what was not
-        # known to the one that told it, so the larger one counts.
-        self._since = SlidingSum(window_s, _STEPS)
-        self._returns: collections.deque[_Return] = collections.deque()
+        # Use of others before `known_from`, and all that was reported since.
+        # The reports lack instances that have ended; the adopted use lacks what
+        # its sender did not know. Therefore the larger sum counts.
+        self._adopted = SlidingSum(window_s, _BUCKETS)
+        self._refunds: collections.deque[_Refund] = collections.deque()
 
     def admit(self, amount: float, now: float) -> None:
-        """Add what this instance admits."""
+        """Add an admission of this instance."""
         self.own.add(amount, now)
         self.outstanding.add(amount, now)
         self.total += amount
         self.fleet_total += amount
 
     def give_back(self, amount: float, charged_at: float, now: float) -> None:
-        """Take back what did not run, where it was charged."""
+        """Refund a request that did not run, at the time of its charge."""
         self.own.take_back(amount, charged_at, now)
         self.outstanding.take_back(amount, charged_at)
         self.returned += amount
         self.fleet_total -= amount
-        self._returns.append(_Return(now, charged_at, amount, self.returned))
-        self._forget_returns(now)
+        self._refunds.append(_Refund(now, charged_at, amount, self.returned))
+        self._expire_refunds(now)
 
     def adopt(self, parts: Parts, now: float) -> None:
-        """Take what all others have used until now, as another knows it."""
+        """Adopt the use of all others until now from another instance."""
         self._known_from = now
-        self._since = SlidingSum(self._window_s, _STEPS)
+        self._adopted = SlidingSum(self._window_s, _BUCKETS)
         for age_s, amount in parts:
-            self._since.add(amount, now, age_s)
+            self._adopted.add(amount, now, age_s)
 
     def reported(self, amount: float, now: float, age_s: float) -> None:
-        """Take that another instance admitted this amount so long ago."""
+        """Record an amount that another instance admitted `age_s` ago."""
         self.fleet_total += amount
         self._reported.add(amount, now, age_s)
-        if self._needs_past(now) and now - age_s >= self._known_from:
-            self._since.add(amount, now, age_s)
+        if self._needs_earlier(now) and now - age_s >= self._known_from:
+            self._adopted.add(amount, now, age_s)
 
     def take_back(self, amount: float, charged_at: float, now: float) -> None:
-        """Take that another instance gave back what it had admitted."""
+        """Record a refund of another instance."""
         self.fleet_total -= amount
         self._reported.take_back(amount, charged_at, now)
         if charged_at >= self._known_from:
-            self._since.take_back(amount, charged_at, now)
+            self._adopted.take_back(amount, charged_at, now)
 
     def others(self, now: float, before: float = 0) -> float:
-        """Return what others have used, as they told it themselves.
+        """Return the use of others as they reported it themselves.
 
-        before: what all had used before this start, where nobody told it.
+        before: estimated use of all before this start if it was not adopted.
         """
         reported = self._reported.total(now)
-        if not self._needs_past(now):
+        if not self._needs_earlier(now):
             return reported
-        return max(reported, before + self._since.total(now))
+        return max(reported, before + self._adopted.total(now))
 
     def others_parts(self, now: float) -> Parts:
-        """Return the same with its ages."""
+        """Return the reported use of others by age."""
         reported = self._reported.total(now)
-        if not self._needs_past(now) or reported >= self._since.total(now):
+        if not self._needs_earlier(now) or reported >= self._adopted.total(now):
             return self._reported.parts(now)
-        return self._since.parts(now)
+        return self._adopted.parts(now)
 
     def others_heard(self, own: float, now: float) -> float:
-        """Return what others have used, as those say who hear them.
+        """Return the use of others according to hubs.
 
-        What they have counted of this instance's own use is not among it.
-        News that stay away do not make the use zero; they count until they
-        have left the window.
+        The hubs' counts include admissions of this instance, which are
+        subtracted. If reports cease, the last ones count until they have left
+        the window, so that missing reports do not reset the use to zero.
         """
         most: float = 0
-        newest = max((fleet.at for fleet in self.heard.values()), default=0)
-        oldest = max(now - self._window_s, newest - _HEARD_S)
-        for fleet in self.heard.values():
+        newest = max(
+            (fleet.at for fleet in self.fleet_uses.values()), default=0
+        )
+        oldest = max(now - self._window_s, newest - _REPORT_VALID_S)
+        for fleet in self.fleet_uses.values():
             if fleet.at < oldest:
                 continue
             own_counted = own - max(0, self.total - fleet.counted)
@@ -191,79 +193,83 @@
         return most
 
     def rate(self, now: float) -> float:
-        """Return what all admit in a second, as they told it lately."""
+        """Return the recent admissions of all instances per second."""
         return max(
             0,
-            self._admitted(now, _RATE_S) / _RATE_S,
-            self._admitted(now, _SURGE_S) / _SURGE_S,
+            self._admitted(now, _RATE_PERIOD_S) / _RATE_PERIOD_S,
+            self._admitted(now, _SURGE_PERIOD_S) / _SURGE_PERIOD_S,
         )
 
     def leaves(self, now: float) -> float:
-        """Return how much of the use of all soon leaves in a second."""
-        told = self._reported.oldest(now, _RATE_S)
-        return max(0, told + self.own.oldest(now, _RATE_S)) / _RATE_S
+        """Return the amount per second that is about to leave the window."""
+        reported = self._reported.oldest(now, _RATE_PERIOD_S)
+        return (
+            max(0, reported + self.own.oldest(now, _RATE_PERIOD_S))
+            / _RATE_PERIOD_S
+        )
 
-    def unheard(self, now: float, lag_s: float) -> float:
-        """Return by how much the use has grown since the newest news, likely.
+    def unreported(self, now: float, lag_s: float) -> float:
+        """Return the estimated growth of the use since the last hub report.
 
-        Without it a surge would be admitted beyond what a quota bears. What
-        has left the window meanwhile makes room: a steady use grows by nothing.
-        A surge leaves as it came, all at once, and would fill the same room
-        again before anybody has heard of it.
+        Without this estimate, a surge would exceed the quota. Amounts that left
+        the window in the meantime are subtracted, so the estimate for steady
+        use is zero. They are not subtracted in a surge: it leaves the window as
+        abruptly as it came, and the freed quota would be used up again before
+        the next report.
 
-        lag_s: how old what hubs tell is itself.
+        lag_s: age of the data in a hub report when it is sent.
         """
-        newest = max(self.heard.values(), key=_heard_at, default=None)
+        newest = max(self.fleet_uses.values(), key=_reported_at, default=None)
         if newest is None:
             return 0
-        grows = newest.rate
-        if grows < _SURGE * self.workspace.rate:
-            grows = max(0, grows - newest.leaves)
-        return grows * min(_HEARD_S, now - newest.at + lag_s)
+        growth = newest.rate
+        if growth < _SURGE_FACTOR * self.workspace.rate:
+            growth = max(0, growth - newest.leaves)
+        return growth * min(_REPORT_VALID_S, now - newest.at + lag_s)
 
     def oldest_return_s(self, now: float) -> float:
-        """Return the longest wait among the last returns.
+        """Return the longest time to refund among the recent refunds.
 
-        Others take what they are not told the age of back at this age: what
-        leaves the window too early leaves their sum too high. A mean would
-        hide what ran between two charges for as long as they are apart.
+        Receivers book refunds of unknown age at this age. A refund that leaves
+        the window too early only makes their sum too high. With the mean age,
+        refunds could cancel requests that ran between two refunded charges.
         """
-        self._forget_returns(now)
-        waits = (given.at - given.charged_at for given in self._returns)
+        self._expire_refunds(now)
+        waits = (refund.at - refund.charged_at for refund in self._refunds)
         return max(waits, default=0)
 
     def returns(self, after: float, now: float) -> Parts:
-        """Return what was given back beyond a sum, by the ages of charges."""
-        self._forget_returns(now)
+        """Return refunds after a total of `after`, by ages of their charges."""
+        self._expire_refunds(now)
         return merged(
             (
-                (now - given.charged_at, given.amount)
-                for given in self._returns
-                if given.returned > after
+                (now - refund.charged_at, refund.amount)
+                for refund in self._refunds
+                if refund.returned > after
             ),
-            self._window_s / _STEPS,
+            self._window_s / _BUCKETS,
         )
 
-    def told_parts(self, parts: Iterable[tuple[float, float]]) -> Parts:
-        """Return amounts as they are told to others."""
-        return merged(parts, self._window_s / _TOLD_PARTS)
+    def coarse_parts(self, parts: Iterable[tuple[float, float]]) -> Parts:
+        """Return amounts merged into the age steps that are reported."""
+        return merged(parts, self._window_s / _REPORTED_STEPS)
 
     def _admitted(self, now: float, within_s: float) -> float:
-        told = self._reported.newest(now, within_s)
-        return told + self.own.newest(now, within_s)
+        reported = self._reported.newest(now, within_s)
+        return reported + self.own.newest(now, within_s)
 
-    def _needs_past(self, now: float) -> bool:
-        """Return whether what was used before this start matters yet."""
+    def _needs_earlier(self, now: float) -> bool:
+        """Return whether use before `known_from` may still be in the window."""
         return now - self._known_from <= self._window_s
 
-    def _forget_returns(self, now: float) -> None:
-        returns = self._returns
-        while returns and now - returns[0].at > _RETURNS_TOLD_S:
+    def _expire_refunds(self, now: float) -> None:
+        returns = self._refunds
+        while returns and now - returns[0].at > _REFUNDS_KEPT_S:
             returns.popleft()
 
 
 def merged(parts: Iterable[tuple[float, float]], step_s: float) -> Parts:
-    """Return the amounts of each step of ages together, as the youngest."""
+    """Merge the amounts of each age step into one at their youngest age."""
     steps: dict[int, tuple[float, float]] = {}
     for age_s, amount in parts:
         step = int(age_s / step_s)
@@ -272,5 +278,5 @@
     return tuple(steps.values())
 
 
-def _heard_at(fleet: FleetUse) -> float:
+def _reported_at(fleet: FleetUse) -> float:
     return fleet.at
--- a/packages/dispatch/src/tallyhall_dispatch/rollout.py
+++ b/packages/dispatch/src/tallyhall_dispatch/rollout.py
@@ -1,16 +1,17 @@
-"""One roll-out as its leader sees it: what its target may get.
-
-A bad version must not get more than a share of what reaches its service, so it
-gets less than that until the end, whatever its answers were: it may turn bad
-late. What is left of the share is kept for the time between the completion and
-the end of the order, in which the target gets everything. Before it, requests
-that may run only once go to the target as far as the share bears it, as what
-runs on the old upstreams then is cut.
-
-Nothing is granted on trust: what the target gets is written to the store before
-it is placed, in blocks that hold for a short time. Whoever leads next counts
-all that was written as used. A leader that does not reach the store places
-nothing more there.
+"""A rollout on its leader: limits the requests that the target version gets.
+
+A bad version must not get more than a share of its service's requests. The
+target therefore stays below this share until the end, however good its
+responses are, since it may turn bad late. The remainder is reserved for the
+time between the completion and the deadline of the order, in which the target
+gets all requests. Shortly before the completion, non-repeatable requests go to
+the target as far as the share allows, because requests that still run on the
+old upstreams at the completion are aborted.
+
+Every request placed on the target is covered by a budget block that was written
+to the store beforehand and that expires after a short time. The next leader
+counts everything that was written as used. A leader that cannot reach the store
+stops placing requests on the target.
 """
 
 from __future__ import annotations
@@ -21,63 +22,66 @@
 
 import msgspec
 
-from .evidence import Evidence, Tally
+from .evidence import CanaryAnalysis, Tally
 from .jobs import Job, RunReport
 from .versions import RolloutOrder, RolloutState
 
-# Of the share and of the allowance beside it, what the target gets while it is
-# judged; the rest is for the requests that must not be cut, and for the end.
-_JUDGED_SHARE = 0.5
-_JUDGED_ALLOWANCE = 0.5
-# Of the allowance, what is there from the start; the rest comes with time, so
-# that a version that turns bad late is seen as well.
-_FIRST_ALLOWANCE = 0.15
-# Requests that the target gets one after another while it is judged: so many at
-# a time show how it answers under load, single ones do not.
-_AT_A_TIME = 16
-# Of the allowance, what is never used: counts of two instances differ.
-_KEPT_ALLOWANCE = 0.1
-# The target takes what must not be cut for so long before the completion, in
-# seconds and in parts of the order's time.
+# Fractions of the share and of the additional allowance that the target gets
+# during evaluation; the rest is for non-repeatable requests and for the end.
+_EVALUATION_SHARE = 0.5
+_EVALUATION_ALLOWANCE = 0.5
+# Fraction of the allowance that is available from the start. The rest is added
+# over time, so that a version that turns bad late is detected as well.
+_INITIAL_ALLOWANCE = 0.15
+# The target gets requests in batches of this size during evaluation, which show
+# its behavior under load; single requests do not.
+_BATCH_SIZE = 16
+# Fraction of the allowance that is never used, since the request counts of two
+# instances differ.
+_UNUSED_ALLOWANCE = 0.1
+# Non-repeatable requests go to the target for this long before the completion:
+# the smaller of a time in seconds and a fraction of the order's duration.
 _SHIFT_S = 2.5
-_SHIFT_PART = 0.25
-# The completion is written so long before the end, in seconds and parts: the
-# order may be a third of it older than its first sight, and the write takes
-# time.
-_LAST_S = 0.5
-_LAST_PART = 0.15
-# What is kept for the end is kept for so many times as long.
-_KEPT_TIMES = 1.4
-# What is written at once for the target beyond what it has got, in seconds of
-# what it gets, and at least in requests.
+_SHIFT_FRACTION = 0.25
+# The completion is written this long before the deadline: the smaller of a time
+# in seconds and a fraction of the order's duration. The order may be older than
+# its first sighting by a third of that time, and the write takes time.
+_COMPLETION_LEAD_S = 0.5
+_COMPLETION_LEAD_FRACTION = 0.15
+# Safety factor of the budget that is reserved for the end.
+_RESERVE_FACTOR = 1.4
+# Size of a budget block: the requests of the target in this many seconds, and a
+# minimum number of requests.
 _BLOCK_S = 2.0
-_LEAST_BLOCK = 5
-# A block holds for this long from its writing, and is written anew in time.
-BLOCK_HOLDS_S = 2.5
-RENEWED_S = 1.2
-# Bad answers that may be lost with a leader.
-_UNWRITTEN_BAD = 4
-# Answers without which nothing is completed: a bad version that fails a third
-# spoils five of so many nearly always.
-_LEAST_ANSWERS = 30
-# Part of the places of the old upstreams that the target must have.
-_LEAST_PLACES = 0.5
+_MIN_BLOCK = 5
+# A block is valid for this long after its write and is renewed before it
+# expires, in seconds.
+BLOCK_VALID_S = 2.5
+_RENEW_S = 1.2
+# Bad responses after which a record is written; fewer may be lost if the leader
+# fails.
+_MAX_UNWRITTEN_BAD = 4
+# Responses that are required for completion: a bad version that fails a third
+# of its responses almost certainly fails at least five of this many.
+_MIN_ANSWERS = 30
+# Slots that the target must have, as a fraction of those of the old upstreams.
+_MIN_SLOTS_FRACTION = 0.5
 
 
 class RolloutBounds(msgspec.Struct, frozen=True):
-    """What a bad version may get at most: a share of the requests and some."""
+    """Limit for a bad version: a share of all requests plus an allowance."""
 
     share: float = 0.1
     allowance: float = 50
 
 
 class RolloutRecord(msgspec.Struct, frozen=True):
-    """What is written of a roll-out, for whoever leads it next.
+    """The stored state of a rollout, from which the next leader continues.
 
-    order: revision of the order. leader: the run of the instance that leads,
-    empty where it has stepped down. elapsed_s: since the order, at the time of
-    day `day_s`. seen: requests that were placed. exposed: those that the target
-    may have got.
+    order: revision of the order. leader: incarnation of the leading instance,
+    empty if it has stepped down. elapsed_s: time from the order to the wall
+    clock time `day_s`. seen: requests placed on any version. exposed: maximum
+    number of requests that the target has got.
     """
 
     order: int
@@ -91,7 +95,11 @@
 
 @enum.unique
 class Stage(enum.Enum):
-    """judging: a few requests. shifting: what must not be cut. ending: due."""
+    """Stage of a rollout.
+
+    judging: the target gets few requests. shifting: it also gets non-repeatable
+    requests. ending: the completion is due.
+    """
 
     judging = 'judging'
     shifting = 'shifting'
@@ -99,14 +107,14 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """How a roll-out ends, and why."""
+    """The final state of a rollout, and its cause."""
 
     state: RolloutState
     cause: str
 
 
 class Rollout:
-    """The roll-out of one service, on the instance that leads it."""
+    """The rollout of one service on the instance that leads it."""
 
     def __init__(
         self,
@@ -115,92 +123,95 @@
         record: RolloutRecord,
         began_at: float,
     ) -> None:
-        """Go on from a record.
+        """Continue from a stored record.
 
-        began_at: when the order was given, on this clock.
+        began_at: time of the order on the local clock.
         """
         self.order = order
-        self.evidence = Evidence(record.tallies)
+        self.analysis = CanaryAnalysis(record.tallies)
         self.began_at = began_at
         self.seen = record.seen
-        # Nobody knows how much of what was written has been used.
+        # The part of the written budget that was really used is unknown.
         self.exposed = record.exposed
         self._bounds = bounds
         self._written = record.exposed
-        self._holds_until = float('-inf')
+        self._valid_until = float('-inf')
         self._written_at = float('-inf')
-        self._written_bad = self.evidence.bad
-        # Of what was placed since: all, and on the target, by route.
-        self._seen_on: collections.Counter[str] = collections.Counter()
-        self._exposed_on: collections.Counter[str] = collections.Counter()
-        # Whether requests go to the target until what is allowed is used up.
-        self._is_open = True
-
-    def go_on(self, record: RolloutRecord) -> None:
-        """Go on after a pause, in which another may have led."""
+        self._written_bad = self.analysis.bad
+        # Requests placed since then by route: all, and those on the target.
+        self._seen_by_route: collections.Counter[str] = collections.Counter()
+        self._exposed_by_route: collections.Counter[str] = collections.Counter()
+        # Whether a batch of requests for the target is in progress.
+        self._batch_open = True
+
+    def resume(self, record: RolloutRecord) -> None:
+        """Continue after a pause in which another instance may have led."""
         self.seen = max(self.seen, record.seen)
         self.exposed = max(self.exposed, record.exposed)
         self._written = self.exposed
-        self._holds_until = float('-inf')
+        self._valid_until = float('-inf')
         self._written_at = float('-inf')
-        self.evidence.add(record.tallies)
+        self.analysis.merge(record.tallies)
 
     def stage(self, now: float) -> Stage:
-        """Return how far the roll-out is."""
+        """Return the current stage."""
         limit_s = self.order.limit_s
         left_s = self.began_at + limit_s - now
-        if left_s <= self._last_s():
+        if left_s <= self._completion_lead_s():
             return Stage.ending
-        shift_s = min(_SHIFT_S, _SHIFT_PART * limit_s)
-        if left_s <= self._last_s() + shift_s:
+        shift_s = min(_SHIFT_S, _SHIFT_FRACTION * limit_s)
+        if left_s <= self._completion_lead_s() + shift_s:
             return Stage.shifting
         return Stage.judging
 
     def allowed(self, now: float, *, once: bool = False) -> float:
-        """Return how many requests the target may have got by now.
+        """Return the maximum number of requests of the target by now.
 
-        once: of those that must not be cut, which get more before the end.
+        once: for non-repeatable requests, whose limit is higher near the end.
         """
         bounds = self._bounds
         passed = min(1, max(0, now - self.began_at) / self.order.limit_s)
-        part = _FIRST_ALLOWANCE
-        part += passed * (_JUDGED_ALLOWANCE - _FIRST_ALLOWANCE)
-        judged = _JUDGED_SHARE * bounds.share * self.seen
-        judged += part * bounds.allowance
+        fraction = _INITIAL_ALLOWANCE
+        fraction += passed * (_EVALUATION_ALLOWANCE - _INITIAL_ALLOWANCE)
+        evaluation_limit = _EVALUATION_SHARE * bounds.share * self.seen
+        evaluation_limit += fraction * bounds.allowance
         if not once or self.stage(now) is Stage.judging:
-            return judged
-        most = bounds.share * self.seen
-        most += (1 - _KEPT_ALLOWANCE) * bounds.allowance
-        kept = self._rate(now) * self._last_s() * _KEPT_TIMES
-        return max(judged, most - kept)
+            return evaluation_limit
+        limit = bounds.share * self.seen
+        limit += (1 - _UNUSED_ALLOWANCE) * bounds.allowance
+        reserved = self._rate(now) * self._completion_lead_s() * _RESERVE_FACTOR
+        return max(evaluation_limit, limit - reserved)
 
     def may_expose(self, job: Job, now: float) -> bool:
-        """Return whether the target may get a job.
+        """Return whether a job may be placed on the target.
 
-        What has failed elsewhere already, or is above a quota, does not go
-        where it may fail. Each route has its part, so that each is judged.
+        Jobs that failed elsewhere, are suspected of crashing upstreams or
+        exceed a quota are not exposed to a version that may fail. The limit is
+        divided among the routes, so that each of them is evaluated.
         """
         if job.excluded or job.spare or job.suspect:
             return False
-        if now >= self._holds_until or self.exposed >= self._written:
+        if now >= self._valid_until or self.exposed >= self._written:
             return False
-        if self.evidence.condemned_by is not None:
+        if self.analysis.rejection_reason is not None:
             return False
         if job.once and self.stage(now) is not Stage.judging:
             return self.exposed + 1 <= self.allowed(now, once=True)
-        if not self._takes_turn(now):
+        if not self._is_batch_open(now):
             return False
-        seen = max(1, self._seen_on.total())
-        part = self._seen_on[job.route] / seen
-        return self._exposed_on[job.route] <= 1 + part * self.allowed(now)
+        seen = max(1, self._seen_by_route.total())
+        fraction = self._seen_by_route[job.route] / seen
+        return self._exposed_by_route[job.route] <= 1 + fraction * self.allowed(
+            now
+        )
 
     def placed(self, job: Job, *, canary: bool) -> None:
-        """Take that a job was placed."""
+        """Record that a job was placed."""
         self.seen += 1
-        self._seen_on[job.route] += 1
+        self._seen_by_route[job.route] += 1
         if canary:
             self.exposed += 1
-            self._exposed_on[job.route] += 1
+            self._exposed_by_route[job.route] += 1
 
     def ended(
         self,
@@ -211,36 +222,36 @@
         *,
         canary: bool,
     ) -> None:
-        """Take how a job ended."""
-        self.evidence.note(job, upstream, report, now, canary=canary)
+        """Record how a job ended."""
+        self.analysis.note(job, upstream, report, now, canary=canary)
 
     def verdict(
-        self, now: float, old_places: int, new_places: int
+        self, now: float, old_slots: int, new_slots: int
     ) -> Verdict | None:
-        """Return how the roll-out ends, None where it goes on."""
-        self.evidence.look()
-        cause = self.evidence.condemned_by
+        """Return how the rollout ends, None while it continues."""
+        self.analysis.check_speed()
+        cause = self.analysis.rejection_reason
         if cause is not None:
             return Verdict(RolloutState.rolled_back, cause)
         if self.stage(now) is not Stage.ending:
             return None
-        if self.evidence.answers < _LEAST_ANSWERS:
-            # Whoever asks for so little is judged later; a target that nobody
-            # runs is not.
-            if new_places:
+        if self.analysis.answers < _MIN_ANSWERS:
+            # A service with few requests is evaluated for longer, unless the
+            # target has no upstreams.
+            if new_slots:
                 return None
-            return Verdict(RolloutState.rolled_back, 'no upstream')
-        if new_places < _LEAST_PLACES * old_places:
-            return Verdict(RolloutState.rolled_back, 'too few places')
-        return Verdict(RolloutState.completed, 'judged good')
+            return Verdict(RolloutState.rolled_back, 'target has no upstreams')
+        if new_slots < _MIN_SLOTS_FRACTION * old_slots:
+            return Verdict(RolloutState.rolled_back, 'target has too few slots')
+        return Verdict(RolloutState.completed, 'no regression found')
 
-    # -- what is written
+    # -- stored records
 
-    def wants_writing(self, now: float) -> bool:
-        """Return whether a record should be written now."""
-        if now - self._written_at >= RENEWED_S:
+    def is_write_due(self, now: float) -> bool:
+        """Return whether a record is due to be written."""
+        if now - self._written_at >= _RENEW_S:
             return True
-        if self.evidence.bad - self._written_bad >= _UNWRITTEN_BAD:
+        if self.analysis.bad - self._written_bad >= _MAX_UNWRITTEN_BAD:
             return True
         used_up = self.exposed >= self._written
         return used_up and self.exposed + 1 <= self.allowed(now, once=True)
@@ -248,15 +259,15 @@
     def next_record(
         self, leader: str, now: float, day_s: float
     ) -> RolloutRecord:
-        """Return what to write, with a block for the target."""
-        most = self.allowed(now, once=True)
+        """Return the record to write, with a new budget block."""
+        limit = self.allowed(now, once=True)
         per_s = self._rate(now) * self._bounds.share
         if self.stage(now) is not Stage.judging:
             per_s = self._rate(now)
-        block = max(_LEAST_BLOCK, int(_BLOCK_S * per_s))
-        # Requests that are placed meanwhile allow more.
-        most += self._bounds.share * self._rate(now) * RENEWED_S
-        exposed = max(self.exposed, min(self.exposed + block, int(most)))
+        block = max(_MIN_BLOCK, int(_BLOCK_S * per_s))
+        # Requests placed until the next write raise the limit.
+        limit += self._bounds.share * self._rate(now) * _RENEW_S
+        exposed = max(self.exposed, min(self.exposed + block, int(limit)))
         return RolloutRecord(
             self.order.revision,
             leader,
@@ -264,27 +275,30 @@
             day_s,
             self.seen,
             exposed,
-            self.evidence.copied(),
+            self.analysis.copy_tallies(),
         )
 
-    def written(self, record: RolloutRecord, asked_at: float) -> None:
-        """Take that a record is in the store; the question was asked then."""
+    def record_written(self, record: RolloutRecord, asked_at: float) -> None:
+        """Record that a record was stored by a call made at `asked_at`."""
         self._written = record.exposed
         self._written_at = asked_at
         self._written_bad = record.tallies.get('', Tally()).bad
-        self._holds_until = asked_at + BLOCK_HOLDS_S
-
-    def _takes_turn(self, now: float) -> bool:
-        left = self.allowed(now) - self.exposed
-        if left < 1:
-            self._is_open = False
-        elif left >= _AT_A_TIME:
-            self._is_open = True
-        return self._is_open
-
-    def _last_s(self) -> float:
-        return min(_LAST_S, _LAST_PART * self.order.limit_s)
+        self._valid_until = asked_at + BLOCK_VALID_S
+
+    def _is_batch_open(self, now: float) -> bool:
+        remaining = self.allowed(now) - self.exposed
+        if remaining < 1:
+            self._batch_open = False
+        elif remaining >= _BATCH_SIZE:
+            self._batch_open = True
+        return self._batch_open
+
+    def _completion_lead_s(self) -> float:
+        return min(
+            _COMPLETION_LEAD_S,
+            _COMPLETION_LEAD_FRACTION * self.order.limit_s,
+        )
 
     def _rate(self, now: float) -> float:
-        """Return how many requests are placed in a second."""
+        """Return the number of requests placed per second."""
         return self.seen / max(1, now - self.began_at)
--- a/packages/dispatch/src/tallyhall_dispatch/shares.py
+++ b/packages/dispatch/src/tallyhall_dispatch/shares.py
@@ -1,91 +1,93 @@
-"""In which order urgencies are served when not all can be.
+"""Scheduling order of urgency classes under overload.
 
-The most urgent jobs always go first. Strict order among the rest would
-starve the last urgency as soon as the engines are full, although its jobs
-may be the smallest. So the others take turns: the urgency of which the
-least part was served in time goes first, and a more urgent one keeps a head
-start, so that it is not served less often than a less urgent one.
+The most urgent class always goes first. Strict priority among the others would
+starve the least urgent class as soon as the engines are saturated, although its
+jobs may be the smallest. Therefore the class with the lowest fraction of jobs
+served in time goes first, with a bias in favor of more urgent classes so that
+they are not served less often than less urgent ones.
 """
 
 from __future__ import annotations
 
 from .windows import SlidingSum
 
-# Weight of the newest job in the served part of its urgency: fifty jobs,
-# some two seconds of one class, replace two thirds of it.
-_NEWEST = 0.02
-# Part by which a less urgent class must be served worse to go first.
-_HEAD_START = 0.05
+# Weight of the newest job in the moving average of its class: fifty jobs, about
+# two seconds of one class, replace two thirds of the average.
+_SMOOTHING = 0.02
+# Difference of the served fraction at which the next less urgent class goes
+# first.
+_URGENCY_BIAS = 0.05
 _MOST_URGENT = 0
-_FIRST = -1.0
-# Grants are counted over this long, in seconds, in steps of a tenth: about
-# the time for which jobs wait.
-_RATE_S = 1.0
-_STEPS = 10
+_TOP_RANK = -1.0
+# Window of the grant rate in seconds, about the time for which jobs wait, and
+# its number of buckets.
+_RATE_WINDOW_S = 1.0
+_RATE_BUCKETS = 10
 
 
 class ServedShares:
-    """The part of the jobs of each urgency that was served in time."""
+    """Fraction of the jobs of each urgency class that was served in time."""
 
     def __init__(self) -> None:
-        """Start as if all had been served."""
+        """Start as if all jobs had been served in time."""
         self._shares: dict[int, float] = {}
 
     def note(self, urgency: int, *, served: bool) -> None:
-        """Take what became of a job."""
+        """Record whether a job was served in time."""
         share = self._shares.get(urgency, 1)
-        self._shares[urgency] = share + _NEWEST * (served - share)
+        self._shares[urgency] = share + _SMOOTHING * (served - share)
 
     def rank(self, urgency: int) -> float:
-        """Return the rank of an urgency; the least goes first."""
+        """Return the sort key of an urgency class; the lowest goes first."""
         if urgency <= _MOST_URGENT:
-            return _FIRST
-        return self._shares.get(urgency, 1) + _HEAD_START * urgency
+            return _TOP_RANK
+        return self._shares.get(urgency, 1) + _URGENCY_BIAS * urgency
 
 
 class AnswerLengths:
-    """How many events the answers of each urgency have.
+    """Moving average of the number of response events per urgency class.
 
-    Callers state the most tokens that they take, ten times what comes; by
-    that, the pace of an engine would hide how much it has to read first.
+    The token limit that callers state is about ten times the actual length.
+    Estimates based on it would be dominated by the decoding time, which would
+    hide how long an engine's prefill takes.
     """
 
     def __init__(self) -> None:
-        """Start without answers."""
+        """Start without responses."""
         self._events: dict[int, float] = {}
 
     def note(self, urgency: int, events: int) -> None:
-        """Take how long an answer was."""
+        """Record the length of a response."""
         known = self._events.get(urgency, events)
-        self._events[urgency] = known + _NEWEST * (events - known)
+        self._events[urgency] = known + _SMOOTHING * (events - known)
 
     def events(self, urgency: int, unknown: float) -> float:
-        """Return the expected events of an answer, or what is given."""
+        """Return the expected length of a response, `unknown` without data."""
         return self._events.get(urgency, unknown)
 
 
 class GrantRates:
-    """How many places a second went to each urgency."""
+    """Slots granted per second to each urgency class."""
 
     def __init__(self) -> None:
         """Start without grants."""
         self._grants: dict[int, SlidingSum] = {}
 
     def note(self, urgency: int, now: float) -> None:
-        """Take that a job was granted a place."""
+        """Record that a job was granted a slot."""
         grants = self._grants.get(urgency)
         if grants is None:
-            grants = SlidingSum(_RATE_S, _STEPS)
+            grants = SlidingSum(_RATE_WINDOW_S, _RATE_BUCKETS)
             self._grants[urgency] = grants
         grants.add(1, now)
 
     def per_s(self, urgency: int, now: float) -> float:
-        """Return the rate of one urgency."""
+        """Return the grant rate of one urgency class."""
         grants = self._grants.get(urgency)
-        return 0 if grants is None else grants.total(now) / _RATE_S
+        return 0 if grants is None else grants.total(now) / _RATE_WINDOW_S
 
     def above(self, urgency: int, now: float) -> float:
-        """Return the rate of all that are more urgent."""
+        """Return the grant rate of all more urgent classes."""
         return sum(
             self.per_s(other, now) for other in self._grants if other < urgency
         )
--- a/packages/dispatch/src/tallyhall_dispatch/topology.py
+++ b/packages/dispatch/src/tallyhall_dispatch/topology.py
@@ -1,15 +1,15 @@
-"""Which instances keep streams to which.
-
-Up to a few instances, each hears all others. With more, that would grow
-with the square: at 87 instances 7,500 streams and, at a beat a second, 0.03
-of a core on each instance for nothing but beats (0.34 ms for a beat sent
-and received, measured over loopback). Then a few of them are hubs: the first
-that answer, largest machines first and then in rendezvous order. Everyone
-keeps a stream to each hub and each hub one back, and the hubs own the
-services. Instances that stop are hubs only where too few others are left:
-they still tell and hear what is admitted, and own nothing. Nothing is agreed
-on: two instances that hold different hubs for a while cost some order in the
-queue and nothing else.
+"""Selects the peers to which an instance keeps streams.
+
+Small fleets form a full mesh. In larger fleets a mesh would grow quadratically:
+87 instances would need 7,500 streams and, at one heartbeat per second, 0.03 of
+a core per instance for heartbeats alone (0.34 ms to send and receive one over
+loopback). There, a few instances act as hubs: the first ones that respond,
+ordered by machine size and then by rendezvous hash. Every instance keeps a
+stream to each hub, each hub keeps one back, and the hubs own the services.
+Stopping instances become hubs only if too few others are left: they still
+exchange use reports but do not own services. The selection needs no consensus:
+instances that select different hubs for a while only affect the order of the
+queue.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
 import msgspec
 from tallyhall_membership.rendezvous import rank
 
-# Instances up to which each hears all others: 16 make 240 streams and 100
-# beats a second in each direction, under 2% of a core.
-_MOST_IN_MESH = 16
-# Time between two batches without content, in seconds, to up to this many
-# peers; with more it grows in proportion, so that an instance's beats stay
-# below 80 a second in each direction, and up to the longest: what is believed
-# of others is at most two beats old, whatever the fleet. At 410 instances a
-# hub then sends and receives 340 a second, 0.12 of a core.
-_BEAT_S = 0.15
+# Maximum fleet size of a full mesh: 16 instances have 240 streams and 100
+# heartbeats per second in each direction, which take less than 2% of a core.
+_MAX_MESH_SIZE = 16
+# Heartbeat interval in seconds for up to this many peers. With more peers it
+# grows in proportion, so that an instance sends and receives fewer than 80
+# heartbeats per second each, up to a maximum that bounds the age of the data
+# about other instances, which is at most two heartbeats. At 410 instances, a
+# hub sends and receives 340 heartbeats per second, which take 0.12 of a core.
+_MIN_BEAT_S = 0.15
 _FULL_RATE_PEERS = 12
-LONGEST_BEAT_S = 1.2
-# Hubs of a larger fleet: two may be lost at the same moment, and services
-# with model engines have an owner each.
-_HUBS = 4
-_KEY = 'hub'
-_NOBODY: frozenset[str] = frozenset()
+MAX_BEAT_S = 1.2
+# Number of hubs in a large fleet: two may fail at the same time, and services
+# with model engines are owned by different hubs.
+_HUB_COUNT = 4
+_RANK_KEY = 'hub'
+_NO_INSTANCES: frozenset[str] = frozenset()
 
 
-class Chosen(msgspec.Struct, frozen=True):
-    """Whom an instance deals with.
+class PeerSelection(msgspec.Struct, frozen=True):
+    """The peers selected by an instance.
 
-    hubs: instances that hear all. owners: of them, those that may own
-    services. linked: those to talk to.
+    hubs: instances that hear all others. owners: hubs that may own services.
+    linked: instances to keep a stream to.
     """
 
     hubs: frozenset[str]
@@ -50,26 +50,26 @@
 
 
 def is_mesh(instances: int) -> bool:
-    """Return whether each of so many instances hears all others."""
-    return instances <= _MOST_IN_MESH
+    """Return whether a fleet of this size forms a full mesh."""
+    return instances <= _MAX_MESH_SIZE
 
 
 def beat_s(peers: int) -> float:
-    """Return the time between two beats to so many peers, in seconds."""
-    return _BEAT_S * min(
+    """Return the heartbeat interval for this many peers, in seconds."""
+    return _MIN_BEAT_S * min(
         max(1, peers / _FULL_RATE_PEERS),
-        LONGEST_BEAT_S / _BEAT_S,
+        MAX_BEAT_S / _MIN_BEAT_S,
     )
 
 
 class Topology:
-    """The hubs and links of one instance."""
+    """Peer selection of one instance."""
 
     def __init__(self, name: str) -> None:
-        """Start alone."""
+        """Start without other instances."""
         self._name = name
-        self._sorted = (_NOBODY, _NOBODY)
-        self._order: list[str] = []
+        self._ranked_for = (_NO_INSTANCES, _NO_INSTANCES)
+        self._ranking: list[str] = []
 
     def choose(
         self,
@@ -77,34 +77,35 @@
         silent: frozenset[str],
         heard: frozenset[str],
         cores: Callable[[str], float],
-        retiring: frozenset[str] = _NOBODY,
-    ) -> Chosen:
-        """Choose among the registered instances.
-
-        silent: those that do not answer. heard: those that sent something
-        lately; they need answers. cores: what processor time an instance
-        has. retiring: those that are not offered to callers any more.
+        retiring: frozenset[str] = _NO_INSTANCES,
+    ) -> PeerSelection:
+        """Select hubs and peers among the registered instances.
+
+        silent: instances that do not respond. heard: instances that sent a
+        message recently and therefore need a stream back. cores: returns the
+        CPU capacity of an instance. retiring: instances that are no longer
+        offered to callers.
         """
         others = registered - {self._name}
         if is_mesh(len(registered)):
             answering = registered - silent
-            return Chosen(answering, answering - retiring, others)
-        if self._sorted != (registered, retiring):
-            self._sorted = (registered, retiring)
-            self._order = sorted(
-                rank(_KEY, registered),
+            return PeerSelection(answering, answering - retiring, others)
+        if self._ranked_for != (registered, retiring):
+            self._ranked_for = (registered, retiring)
+            self._ranking = sorted(
+                rank(_RANK_KEY, registered),
                 key=lambda name: (name in retiring, -cores(name)),
             )
         linked = set(heard & others)
         hubs: set[str] = set()
-        for name in self._order:
+        for name in self._ranking:
             linked.add(name)
             if name in silent:
                 continue
             hubs.add(name)
-            if len(hubs) == _HUBS:
+            if len(hubs) == _HUB_COUNT:
                 break
-        return Chosen(
+        return PeerSelection(
             frozenset(hubs),
             frozenset(hubs - retiring),
             frozenset(linked - {self._name}),
--- a/packages/dispatch/src/tallyhall_dispatch/versions.py
+++ b/packages/dispatch/src/tallyhall_dispatch/versions.py
@@ -1,10 +1,10 @@
-"""Which versions of a service's upstreams take its requests.
+"""Selects the versions of a service's upstreams that receive requests.
 
-Several versions run beside each other only around a roll-out. What no order
-allows gets nothing: its upstreams may be there before the order is. While a
-roll-out runs, its target gets what the leader of the roll-out places there and
-nothing else. An order that was completed leaves the target alone, one that was
-rolled back bars it until a newer order names it.
+Several versions run side by side only around a rollout. A version that no order
+allows gets no requests, since its upstreams may start before the order is
+given. During a rollout, the target version gets only the requests that the
+rollout leader places there. After a completed rollout only the target gets
+requests; after a rollback the target gets none until a newer order names it.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 from .desired import Upstream
 
-# A service whose accepted version has had no upstream for this long takes the
-# one that is there: nobody says any more that it must wait. Seconds.
-_ABSENT_S = 5.0
+# If the accepted version has had no upstreams for this long, in seconds,
+# another version that has some is accepted without an order.
+_ACCEPT_OTHER_S = 5.0
 
 
 @enum.unique
 class RolloutState(enum.Enum):
-    """What has become of an order."""
+    """State of a rollout order."""
 
     running = 'running'
     completed = 'completed'
@@ -32,10 +32,10 @@
 
 
 class RolloutOrder(msgspec.Struct, frozen=True):
-    """A service's traffic is to move to the upstreams of a version.
+    """An order to move the traffic of a service to a target version.
 
-    limit_s: within so many seconds from the order. revision: tells orders
-    apart, a later one has a larger one.
+    limit_s: time limit from the order, in seconds. revision: identifies the
+    order; later orders have larger revisions.
     """
 
     service: str
@@ -45,101 +45,105 @@
 
 
 class RolloutStatus(msgspec.Struct, frozen=True):
-    """What was written of an order; the revision is that of the writing."""
+    """The stored state of an order; `revision` is that of the status itself."""
 
     target: str
     state: RolloutState
     revision: int
 
-    def ends(self, order: RolloutOrder) -> bool:
-        """Return whether this is the last word about an order."""
+    def concludes(self, order: RolloutOrder) -> bool:
+        """Return whether this is the final status of an order."""
         if self.state is RolloutState.running:
             return False
         return self.target == order.target and self.revision > order.revision
 
 
-def without_last_word(
+def order_in_progress(
     order: RolloutOrder | None,
     status: RolloutStatus | None,
 ) -> RolloutOrder | None:
-    """Return an order if its roll-out still runs."""
-    if order is None or (status is not None and status.ends(order)):
+    """Return the order if its rollout is still in progress, else None."""
+    if order is None or (status is not None and status.concludes(order)):
         return None
     return order
 
 
 class ServiceVersions:
-    """The versions of one service, by the newest order and status."""
+    """The versions of one service according to the latest order and status."""
 
     def __init__(self) -> None:
         """Start without an order."""
         self.order: RolloutOrder | None = None
         self.status: RolloutStatus | None = None
-        # What takes requests where no order says anything else.
+        # Version that receives requests if no order says otherwise.
         self._accepted = ''
         self._seen_at: float = 0
         self._is_absent = False
 
     def is_absent(self, now: float) -> bool:
-        """Return whether no upstream of the accepted version is left."""
-        return self._is_absent and now - self._seen_at >= _ABSENT_S
+        """Return whether the accepted version has lost all upstreams."""
+        return self._is_absent and now - self._seen_at >= _ACCEPT_OTHER_S
 
     @property
     def running(self) -> RolloutOrder | None:
-        """Return the order that has no last word yet."""
-        return without_last_word(self.order, self.status)
+        """Return the order that is in progress, if any."""
+        return order_in_progress(self.order, self.status)
 
     def marked(
         self,
         upstreams: Iterable[Upstream],
         now: float,
     ) -> tuple[Upstream, ...]:
-        """Return the upstreams, canaries and those that get nothing marked."""
+        """Return the upstreams with canaries and excluded versions marked."""
         known = tuple(upstreams)
-        self._look(known, now)
-        return tuple(map(self._marked, known))
+        self._update_accepted(known, now)
+        return tuple(map(self._mark, known))
 
-    # -- inner steps
+    # -- internal
 
-    def _marked(self, upstream: Upstream) -> Upstream:
+    def _mark(self, upstream: Upstream) -> Upstream:
         version = upstream.version
         order = self.running
         if order is not None and version == order.target:
             return msgspec.structs.replace(upstream, canary=True)
-        if self._is_barred(version):
+        if self._is_excluded(version):
             return msgspec.structs.replace(upstream, leaving=True)
         return upstream
 
-    def _is_barred(self, version: str) -> bool:
+    def _is_excluded(self, version: str) -> bool:
         if self.running is not None:
-            return version == self._ended(RolloutState.rolled_back)
+            return version == self._target_if(RolloutState.rolled_back)
         return version != self._accepted
 
-    def _ended(self, state: RolloutState) -> str | None:
-        """Return the version whose roll-out ended so, if the newest did."""
+    def _target_if(self, state: RolloutState) -> str | None:
+        """Return the target of the latest rollout if it ended in this state."""
         status = self.status
         if status is None or status.state is not state:
             return None
         return status.target
 
-    def _look(self, upstreams: tuple[Upstream, ...], now: float) -> None:
-        """Settle which version takes requests where no order runs."""
-        staying = collections.Counter(
+    def _update_accepted(
+        self,
+        upstreams: tuple[Upstream, ...],
+        now: float,
+    ) -> None:
+        """Update the accepted version."""
+        counts = collections.Counter(
             upstream.version for upstream in upstreams if not upstream.leaving
         )
-        completed = self._ended(RolloutState.completed)
-        if completed is not None and completed in staying:
+        completed = self._target_if(RolloutState.completed)
+        if completed is not None and completed in counts:
             self._accepted = completed
-        self._is_absent = bool(staying) and self._accepted not in staying
+        self._is_absent = bool(counts) and self._accepted not in counts
         if not self._is_absent:
             self._seen_at = now
             return
-        if self._accepted and now - self._seen_at < _ABSENT_S:
+        if self._accepted and now - self._seen_at < _ACCEPT_OTHER_S:
             return
-        barred = {self._ended(RolloutState.rolled_back)}
+        excluded = {self._target_if(RolloutState.rolled_back)}
         if self.running is not None:
-            barred.add(self.running.target)
-        others = sorted(staying.keys() - barred)
+            excluded.add(self.running.target)
+        others = sorted(counts.keys() - excluded)
         if others:
-            self._accepted = max(others, key=staying.__getitem__)
+            self._accepted = max(others, key=counts.__getitem__)
             self._is_absent = False
--- a/packages/entry/src/tallyhall_entry/rollouts.py
+++ b/packages/entry/src/tallyhall_entry/rollouts.py
@@ -16,7 +16,7 @@
 from tallyhall_core.events import Event
 from tallyhall_dispatch.options import Options
 from tallyhall_dispatch.rollout import (
-    BLOCK_HOLDS_S,
+    BLOCK_VALID_S,
     Rollout,
     RolloutBounds,
     RolloutRecord,
@@ -26,7 +26,7 @@
     RolloutOrder,
     RolloutState,
     RolloutStatus,
-    without_last_word,
+    order_in_progress,
 )
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_platform.calls import CallCounts
@@ -53,7 +53,7 @@
 # A roll-out that another instance leads is looked at this often, in seconds;
 # one whose record has not changed in a block's time is nobody's.
 _LATE_S = 0.2
-_OTHERS_LOOK_S = BLOCK_HOLDS_S + _LATE_S
+_OTHERS_LOOK_S = BLOCK_VALID_S + _LATE_S
 
 
 class _Known:
@@ -72,7 +72,7 @@
     @property
     def running(self) -> RolloutOrder | None:
         """Return the order that has no last word yet."""
-        return without_last_word(self.order, self.status)
+        return order_in_progress(self.order, self.status)
 
 
 class Rollouts:
@@ -211,7 +211,7 @@
         order: RolloutOrder,
         stored: StoredRollout,
     ) -> None:
-        if stored.status is not None and stored.status.ends(order):
+        if stored.status is not None and stored.status.concludes(order):
             known.status = stored.status
             self._tell(service, known)
             return
@@ -225,7 +225,7 @@
             if verdict is not None:
                 await self._end(service, known, rollout, stored, verdict)
                 return
-            if rollout.wants_writing(now):
+            if rollout.is_write_due(now):
                 stored = await self._write(service, rollout, stored)
                 self._log_exposed(service, rollout)
             await asyncio.sleep(_LOOK_S)
@@ -276,7 +276,7 @@
             rollout = Rollout(order, self.bounds, record, known.began_at)
             known.rollout = rollout
         else:
-            rollout.go_on(record)
+            rollout.resume(record)
         if record.day_s and not known.has_come:
             since_s = record.elapsed_s + max(0, time.time() - record.day_s)
             began_at = self._loop.time() - since_s
@@ -296,7 +296,7 @@
             time.time(),
         )
         written = await self._store.write(service, record, stored)
-        rollout.written(record, asked_at)
+        rollout.record_written(record, asked_at)
         return written
 
     async def _end(
@@ -354,8 +354,8 @@
             elapsed_s=round(now - rollout.began_at, 3),
             seen=rollout.seen,
             exposed=rollout.exposed,
-            answers=rollout.evidence.answers,
-            bad=rollout.evidence.bad,
+            answers=rollout.analysis.answers,
+            bad=rollout.analysis.bad,
         )
 
     def _log_judged(
@@ -374,8 +374,8 @@
             elapsed_s=round(now - rollout.began_at, 3),
             seen=rollout.seen,
             exposed=rollout.exposed,
-            answers=rollout.evidence.answers,
-            bad=rollout.evidence.bad,
+            answers=rollout.analysis.answers,
+            bad=rollout.analysis.bad,
         )
 
     def _log_failed(self, service: str, cause: str) -> None:
--- a/packages/entry/src/tallyhall_entry/use_news.py
+++ b/packages/entry/src/tallyhall_entry/use_news.py
@@ -52,9 +52,9 @@
         now = self._loop.time()
         if is_mesh(self._links.instances):
             return frozenset()
-        if now - self._asked_at < self._quotas.news_s:
+        if now - self._asked_at < self._quotas.refresh_s:
             return frozenset()
-        if not self._quotas.take_wants_news():
+        if not self._quotas.take_refresh_wanted():
             return frozenset()
         return self.mark_hubs()
 
@@ -69,7 +69,7 @@
         if is_mesh(self._links.instances) or not self._hubs:
             return False
         known_at = self._quotas.known_at
-        return known_at is None or now - known_at >= self._quotas.news_s
+        return known_at is None or now - known_at >= self._quotas.refresh_s
 
     async def ask(self) -> bool:
         """Ask what all have used; return whether something newer is known."""
--- a/tests/unit/test_rollouts.py
+++ b/tests/unit/test_rollouts.py
@@ -8,11 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.evidence import Evidence
+from tallyhall_dispatch.evidence import CanaryAnalysis
 from tallyhall_dispatch.jobs import Ending, Job, RunReport
 from tallyhall_dispatch.pool import Granted, ServicePool
 from tallyhall_dispatch.rollout import (
-    BLOCK_HOLDS_S,
+    BLOCK_VALID_S,
     Rollout,
     RolloutBounds,
     RolloutRecord,
@@ -133,10 +133,10 @@
     others: Callable[[random.Random], RunReport],
     seed: int,
     seconds: float = 15,
-) -> Evidence:
+) -> CanaryAnalysis:
     """Let 80 answers a second come, 5 of them from the canaries."""
     rng = random.Random(seed)
-    evidence = Evidence()
+    analysis = CanaryAnalysis()
     for number in range(int(seconds * _PER_S)):
         now = number / _PER_S
         route = rng.choice(('a', 'b', 'c'))
@@ -144,9 +144,9 @@
         report = canary(rng, now, route) if is_canary else others(rng)
         upstream = f'{is_canary}-{rng.randrange(6)}'
         job = _job(str(number), route)
-        evidence.note(job, upstream, report, now, canary=is_canary)
-        evidence.look()
-    return evidence
+        analysis.note(job, upstream, report, now, canary=is_canary)
+        analysis.check_speed()
+    return analysis
 
 
 def _sound(rng: random.Random) -> RunReport:
@@ -191,28 +191,28 @@
 def test_a_bad_version_is_found(
     bad: Callable[[random.Random, float, str], RunReport],
 ) -> None:
-    found = [_judged(bad, _sound, seed).condemned_by for seed in _SEEDS]
+    found = [_judged(bad, _sound, seed).rejection_reason for seed in _SEEDS]
     # A third of the answers of one route in three are seen for 15 s.
     least = 18 if bad is _one_route else 20
     assert sum(cause is not None for cause in found) >= least
 
 
 def test_a_good_version_is_not_condemned() -> None:
-    found = [_judged(_good, _sound, seed).condemned_by for seed in _SEEDS]
+    found = [_judged(_good, _sound, seed).rejection_reason for seed in _SEEDS]
     assert found == [None] * len(_SEEDS)
 
 
 def test_a_trouble_of_all_condemns_nobody() -> None:
     found = [_judged(_as_all, _failing, seed) for seed in _SEEDS]
-    assert sum(one.condemned_by is not None for one in found) <= 1
+    assert sum(one.rejection_reason is not None for one in found) <= 1
 
 
 def test_the_end_of_one_upstream_is_one_bad_answer() -> None:
-    evidence = Evidence()
+    analysis = CanaryAnalysis()
     for number in range(9):
-        evidence.note(_job(str(number)), 'u', _CUT, 1, canary=True)
-    assert evidence.bad == 1
-    assert evidence.condemned_by is None
+        analysis.note(_job(str(number)), 'u', _CUT, 1, canary=True)
+    assert analysis.bad == 1
+    assert analysis.rejection_reason is None
 
 
 # -- exposure
@@ -239,7 +239,7 @@
         if rollout.exposed > self.record.exposed:
             raise AssertionError('more was used than was written')
         self.record = rollout.next_record('me', self.now, 1)
-        rollout.written(self.record, self.now)
+        rollout.record_written(self.record, self.now)
         # Whoever led before finds its record overwritten.
         self.leaders = [rollout]
 
@@ -254,7 +254,7 @@
             self.exposed += canary
             leader.placed(job, canary=canary)
             leader.ended(job, 'u', _GOOD, self.now, canary=canary)
-            if leader.wants_writing(self.now):
+            if leader.is_write_due(self.now):
                 self.write(leader)
 
 
@@ -299,9 +299,9 @@
 def test_a_block_holds_only_for_a_while() -> None:
     rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
     assert not rollout.may_expose(_job('a'), 0)
-    rollout.written(rollout.next_record('me', 0, 1), 0)
+    rollout.record_written(rollout.next_record('me', 0, 1), 0)
     assert rollout.may_expose(_job('a'), 0)
-    assert not rollout.may_expose(_job('a'), BLOCK_HOLDS_S)
+    assert not rollout.may_expose(_job('a'), BLOCK_VALID_S)
 
 
 def test_what_was_condemned_gets_nothing_more_also_from_another_leader() -> (
@@ -313,7 +313,7 @@
     raw = msgspec.json.encode(rollout.next_record('me', 1, 1))
     record = msgspec.json.decode(raw, type=RolloutRecord)
     follower = Rollout(_ORDER, _BOUNDS, record, 0)
-    follower.written(follower.next_record('you', 2, 2), 2)
+    follower.record_written(follower.next_record('you', 2, 2), 2)
     for leader in (rollout, follower):
         assert not leader.may_expose(_job('x'), 2)
         verdict = leader.verdict(2, 12, 12)
@@ -370,13 +370,13 @@
     assert set(_granted(pool, jobs, 0)) == {'v1'}
     pool = _pool()
     pool.rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
-    pool.rollout.written(pool.rollout.next_record('me', 0, 1), 0)
+    pool.rollout.record_written(pool.rollout.next_record('me', 0, 1), 0)
     assert 'v2' in _granted(pool, jobs, 0)
 
 
 def test_what_has_failed_once_goes_to_the_version_in_use() -> None:
     pool = _pool()
     pool.rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
-    pool.rollout.written(pool.rollout.next_record('me', 0, 1), 0)
+    pool.rollout.record_written(pool.rollout.next_record('me', 0, 1), 0)
     again = msgspec.structs.replace(_job('a'), excluded=frozenset(('v1-0',)))
     assert _granted(pool, [again], 0) == ['v1']
