--- a/packages/entry/src/tallyhall_entry/exposition.py
+++ b/packages/entry/src/tallyhall_entry/exposition.py
@@ -1,4 +1,4 @@
-"""The metrics in the text format of Prometheus."""
+"""Metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 def exposed(metrics: Metrics) -> bytes:
-    """Return all metrics as text."""
+    """Return all metrics in the Prometheus text format."""
     return exposition.generate_latest(_Collector(metrics))
 
 
 class _Collector:
-    """Reads what was counted when the library asks."""
+    """Converts the counted values when the metrics are scraped."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all metrics, also those that are zero."""
+        """Yield all metrics, including those that are zero."""
         yield from self._counters()
         yield from self._histograms()
         yield from self._gauges()
@@ -68,8 +68,8 @@
                 text,
                 labels=(label,),
             )
-            for of, number in counts.items():
-                family.add_metric((of,), number)
+            for label_value, count in counts.items():
+                family.add_metric((label_value,), count)
             yield family
 
     def _histograms(self) -> Iterator[Metric]:
--- a/packages/entry/src/tallyhall_entry/metrics.py
+++ b/packages/entry/src/tallyhall_entry/metrics.py
@@ -1,8 +1,8 @@
-"""Counters and histograms of an entry instance, for Prometheus.
+"""Counters and histograms of an entry instance for Prometheus.
 
-Counting is done here, in plain numbers: the library and what it brings along
-take 20 ms of processor time to load, a sixth of a start, and are needed only
-once somebody asks for the metrics, which exposition.py writes.
+Values are kept as plain numbers. Importing prometheus_client and its
+dependencies takes 20 ms of CPU time, a sixth of a start, so exposition.py,
+which needs them, is only imported when the metrics are first requested.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 
 from .logs import BoundedStream
 
-_LATENCY_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15)
+_BUCKET_BOUNDS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15)
 _Labels = tuple[str, ...]
 
 
 class Histogram:
-    """How many times fell into each bucket, and their sum."""
+    """Number of observations in each bucket, and their sum."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self.counts = [0 for _ in (*_LATENCY_S, math.inf)]
+        self.counts = [0 for _ in (*_BUCKET_BOUNDS_S, math.inf)]
         self.total: float = 0
 
     def observe(self, amount: float) -> None:
-        """Take one time, in seconds."""
-        self.counts[bisect.bisect_left(_LATENCY_S, amount)] += 1
+        """Add an observation, in seconds."""
+        self.counts[bisect.bisect_left(_BUCKET_BOUNDS_S, amount)] += 1
         self.total += amount
 
     def buckets(self) -> list[tuple[str, float]]:
-        """Return the upper bounds, each with what is not above it."""
-        bounds = (*map(str, map(float, _LATENCY_S)), '+Inf')
+        """Return the upper bounds with their cumulative counts."""
+        bounds = (*map(str, map(float, _BUCKET_BOUNDS_S)), '+Inf')
         return list(
             zip(bounds, itertools.accumulate(self.counts), strict=True),
         )
 
 
 class Metrics:
-    """All metrics of one process; docs/METRICS.md lists them."""
+    """All metrics of one process, described in docs/METRICS.md."""
 
     def __init__(self, stream: BoundedStream) -> None:
         """Start with nothing counted."""
--- a/packages/entry/src/tallyhall_entry/orders.py
+++ b/packages/entry/src/tallyhall_entry/orders.py
@@ -1,4 +1,7 @@
-"""Loads what leads roll-outs with the first order; most starts see none."""
+"""Imports the rollout code when the first order arrives.
+
+Most instances never see an order, and the import slows down their start.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 
 class Orders:
-    """Takes orders of roll-outs and what becomes of them."""
+    """Receives rollout orders and their statuses."""
 
     def __init__(
         self,
@@ -28,7 +31,10 @@
         owns: Callable[[str], bool],
         log: EventLog,
     ) -> None:
-        """Wait for the first order; `owns` tells whose service it is."""
+        """Initialize without loading the rollout code.
+
+        owns: returns whether this instance owns a service.
+        """
         self._options = options
         self._dispatcher = dispatcher
         self._counts = counts
@@ -38,7 +44,7 @@
         self._rollouts: Rollouts | None = None
 
     def take(self, change: Change, made_after: float) -> None:
-        """Take an order or a status; raise DecodeError."""
+        """Apply a changed order or status; raise DecodeError."""
         if self._rollouts is None:
             from .rollouts import new_rollouts  # noqa: PLC0415, WPS433
 
@@ -53,11 +59,11 @@
         self._rollouts.take(change, made_after)
 
     def look(self) -> None:
-        """Lead what is to be led from here."""
+        """Start leading rollouts of services that this instance owns."""
         if self._rollouts is not None:
             self._rollouts.look()
 
     def close(self) -> None:
-        """Cease to lead at once."""
+        """Stop leading immediately, without writing anything to the store."""
         if self._rollouts is not None:
             self._rollouts.close()
--- a/packages/entry/src/tallyhall_entry/quota_uses.py
+++ b/packages/entry/src/tallyhall_entry/quota_uses.py
@@ -1,4 +1,4 @@
-"""What workspaces had really used at a time, out of the log lines of all."""
+"""Actual quota use at any time, from the logs of all instances."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 class _Charge(msgspec.Struct):
     at_s: float
     amount: float
-    # When it was given back, as its request did not run.
+    # Time of the refund if the request did not run.
     until_s: float = float('inf')
 
 
 class QuotaUses:
-    """The charges of all requests; lines may come in any order."""
+    """The charges of all requests, which may be added in any order."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without charges."""
         self._by_request: dict[str, _Charge] = {}
         self._by_workspace: dict[str, list[_Charge]] = collections.defaultdict(
             list,
@@ -34,20 +34,20 @@
         at_s: float,
         amount: float,
     ) -> None:
-        """Take that a request was admitted."""
+        """Record that a request was admitted."""
         charge = _Charge(at_s, amount)
         self._by_request[request] = charge
         self._by_workspace[workspace].append(charge)
         self._is_sorted = False
 
     def given_back(self, request: str, at_s: float) -> None:
-        """Take that a request was refused after it had been admitted."""
+        """Record that a request was refused after it had been admitted."""
         charge = self._by_request.get(request)
         if charge is not None:
             charge.until_s = at_s
 
     def used(self, workspace: str, at_s: float, window_s: float) -> float:
-        """Return what all had used of a quota in the window before a time."""
+        """Return the use of a workspace in the window before a time."""
         if not self._is_sorted:
             for unsorted in self._by_workspace.values():
                 unsorted.sort(key=_charged_at)
--- a/packages/entry/src/tallyhall_entry/reports.py
+++ b/packages/entry/src/tallyhall_entry/reports.py
@@ -1,4 +1,4 @@
-"""What an instance tells of itself, beside its requests: lines and gauges."""
+"""Periodic log lines and gauges of an instance."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from .logs import EventLog
 from .metrics import Metrics
 
-# Calls to the store are logged this often: a line of 300 bytes each 2 s is a
-# hundredth of what an instance may log.
-_CALLS_LOGGED_S = 2.0
+# Interval of the log lines about store calls, in seconds: a line of 300 bytes
+# every 2 s is a hundredth of an instance's log budget.
+_LOG_CALLS_S = 2.0
 
 
 class Reports:
-    """Lines about the fleet and the store, and gauges of this instance."""
+    """Logs fleet counts and store calls, and updates the gauges."""
 
     def __init__(
         self,
@@ -29,19 +29,19 @@
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Tell of the run of this incarnation."""
+        """Initialize for one incarnation of an instance."""
         self._incarnation = incarnation
         self._calls = calls
         self._log = log
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
         self._calls_logged_at = self._loop.time()
-        self._counted: dict[str, int] = {}
+        self._last_counts: dict[str, int] = {}
 
     def log_fleet(self, count: FleetCount, heard: int) -> None:
-        """Log of how many instances the use of quotas counts, if it changed.
+        """Log the numbers of instances that share quotas, if they changed.
 
-        heard: those whose use is known here.
+        heard: number of instances whose use is known here.
         """
         counted = {
             'registered': len(count.registered),
@@ -49,12 +49,12 @@
             'vanished': len(count.vanished),
             'heard': heard,
         }
-        if counted != self._counted:
-            self._counted = counted
+        if counted != self._last_counts:
+            self._last_counts = counted
             self._log.event(Event.fleet_counted, **counted)
 
     def log_calls(self) -> None:
-        """Log how often the store was called, if it was since the last line."""
+        """Log the counts of store calls if they changed since the last line."""
         calls = self._calls.by_labels()
         if calls == self._metrics.store_calls:
             return
@@ -71,9 +71,9 @@
         front: HttpServer,
         dispatcher: Dispatcher,
     ) -> None:
-        """Set the gauges, and log what is due."""
+        """Update the gauges and log what is due."""
         now = self._loop.time()
-        if now - self._calls_logged_at >= _CALLS_LOGGED_S:
+        if now - self._calls_logged_at >= _LOG_CALLS_S:
             self._calls_logged_at = now
             self.log_calls()
         self._log.report_dropped()
--- a/packages/entry/src/tallyhall_entry/rollouts.py
+++ b/packages/entry/src/tallyhall_entry/rollouts.py
@@ -1,9 +1,10 @@
-"""Leads the roll-outs of the services that this instance owns.
+"""Leads the rollouts of the services that this instance owns.
 
-The owner of a service places its requests, so it alone knows what a new version
-got and how it answered. What must outlast it is in the store: the status of the
-order, and a record from which another instance goes on. A record that somebody
-else leads is left alone as long as it changes.
+The owner of a service places its requests, so only the owner knows how many
+requests a new version got and how it responded. State that must survive the
+owner is kept in the store: the status of the order, and a record from which
+another instance can continue. An instance does not take over a rollout while
+the record of another leader still changes.
 """
 
 from __future__ import annotations
@@ -43,40 +44,42 @@
 
 from .logs import EventLog
 
-# Whether something is to be written is looked at this often, in seconds.
-_LOOK_S = 0.05
-# An order is taken to have been there for no longer than this before it was
-# seen, in seconds: one that is completed early takes more than its share.
-_UNSEEN_S = 0.25
-# Pause after a failed call, in seconds.
-_PAUSE_S = 0.3
-# A roll-out that another instance leads is looked at this often, in seconds;
-# one whose record has not changed in a block's time is nobody's.
-_LATE_S = 0.2
-_OTHERS_LOOK_S = BLOCK_VALID_S + _LATE_S
+# Interval of the checks whether a record is due or the rollout ends, in
+# seconds.
+_CHECK_S = 0.05
+# Maximum assumed age of an order when it is first seen, in seconds. Too high a
+# value completes a rollout early, and the target then exceeds its share.
+_MAX_ORDER_AGE_S = 0.25
+# Pause after a failed store call, in seconds.
+_RETRY_S = 0.3
+# Interval of the checks of a rollout that another instance leads, in seconds. A
+# leader renews its record before a block expires, so an unchanged record means
+# that the leader is gone. The margin allows for late writes.
+_LATE_WRITE_S = 0.2
+_TAKEOVER_S = BLOCK_VALID_S + _LATE_WRITE_S
 
 
-class _Known:
-    """What the store told of one service's roll-out."""
+class _ServiceRollout:
+    """State of one service's rollout as read from the store."""
 
     def __init__(self) -> None:
         self.order: RolloutOrder | None = None
         self.status: RolloutStatus | None = None
-        # When the order was given, about; whether it came while this instance
-        # ran, so that it knows that by its own clock.
+        # Approximate time of the order, and whether it arrived while this
+        # instance was running, which makes the local clock reliable for it.
         self.began_at: float = 0
-        self.has_come: bool = False
-        # What this instance knows from leading it.
+        self.is_live: bool = False
+        # Set once this instance has led the rollout.
         self.rollout: Rollout | None = None
 
     @property
     def running(self) -> RolloutOrder | None:
-        """Return the order that has no last word yet."""
+        """Return the order that is in progress, if any."""
         return order_in_progress(self.order, self.status)
 
 
 class Rollouts:
-    """All roll-outs that this instance knows, and those that it leads."""
+    """All rollouts known to this instance, including those that it leads."""
 
     def __init__(
         self,
@@ -87,7 +90,10 @@
         owns: Callable[[str], bool],
         log: EventLog,
     ) -> None:
-        """Place through this dispatcher; `owns` tells whose service it is."""
+        """Initialize.
+
+        owns: returns whether this instance owns a service.
+        """
         self.bounds = bounds
         self._dispatcher = dispatcher
         self._store = store
@@ -95,33 +101,35 @@
         self._owns = owns
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _ServiceRollout] = {}
         self._leading: dict[str, asyncio.Task[None]] = {}
 
     def take(self, change: Change, made_after: float) -> None:
-        """Take an order or a status; raise DecodeError.
+        """Apply a changed order or status; raise DecodeError.
 
-        made_after: a time, on the loop's clock, before which it was not there.
+        made_after: time on the loop's clock before which it did not exist.
         """
         service = service_of(change.key)
-        known = self._known.setdefault(service, _Known())
+        known = self._known.setdefault(service, _ServiceRollout())
         if is_order_key(change.key):
-            # One that cannot be read names nothing any more.
+            # An unreadable order withdraws the previous one.
             known.order = None
             try:
                 known.order = decode_order(change)
             finally:
                 now = self._loop.time()
-                known.began_at = max((made_after + now) / 2, now - _UNSEEN_S)
-                known.has_come = made_after > float('-inf')
-                self._tell(service, known)
+                known.began_at = max(
+                    (made_after + now) / 2, now - _MAX_ORDER_AGE_S
+                )
+                known.is_live = made_after > float('-inf')
+                self._notify_dispatcher(service, known)
             self._log_order(service, known)
             return
         known.status = decode_status(change)
-        self._tell(service, known)
+        self._notify_dispatcher(service, known)
 
     def look(self) -> None:
-        """Lead what is to be led from here."""
+        """Start leading rollouts of services that this instance owns."""
         self._dispatcher.look_at_versions()
         for service, known in self._known.items():
             if known.running is None or service in self._leading:
@@ -131,20 +139,20 @@
             task = asyncio.create_task(self._lead(service, known))
             self._leading[service] = task
             task.add_done_callback(
-                functools.partial(self._ceased, service),
+                functools.partial(self._on_lead_done, service),
             )
 
     def close(self) -> None:
-        """Cease to lead at once, as a lost process would."""
+        """Stop leading immediately, without writing anything to the store."""
         for task in self._leading.values():
             task.cancel()
 
-    # -- inner steps
+    # -- internal
 
-    def _tell(self, service: str, known: _Known) -> None:
+    def _notify_dispatcher(self, service: str, known: _ServiceRollout) -> None:
         self._dispatcher.take_rollout(service, known.order, known.status)
 
-    def _ceased(self, service: str, task: asyncio.Task[None]) -> None:
+    def _on_lead_done(self, service: str, task: asyncio.Task[None]) -> None:
         self._leading.pop(service, None)
         self._dispatcher.lead(service, None)
         if task.cancelled():
@@ -153,7 +161,12 @@
         if exc is not None:
             self._log.failure('rollout', exc)
 
-    def _is_led_here(self, service: str, known: _Known, order: int) -> bool:
+    def _is_led_here(
+        self,
+        service: str,
+        known: _ServiceRollout,
+        order: int,
+    ) -> bool:
         running = known.running
         return (
             running is not None
@@ -161,31 +174,34 @@
             and self._owns(service)
         )
 
-    async def _lead(self, service: str, known: _Known) -> None:
+    async def _lead(self, service: str, known: _ServiceRollout) -> None:
         order = known.running
         if order is None:
             return
         try:
-            stored = await self._free(service, known, order)
+            stored = await self._wait_for_leadership(service, known, order)
             if stored is not None:
                 await self._run(service, known, order, stored)
         except ConditionFailedError:
-            self._log_failed(service, 'another instance has written')
-            await asyncio.sleep(_PAUSE_S)
+            self._log_store_failure(service, 'changed by another instance')
+            await asyncio.sleep(_RETRY_S)
         except StoreError as exc:
-            self._log_failed(service, str(exc))
-            await asyncio.sleep(_PAUSE_S)
+            self._log_store_failure(service, str(exc))
+            await asyncio.sleep(_RETRY_S)
 
-    async def _free(
+    async def _wait_for_leadership(
         self,
         service: str,
-        known: _Known,
+        known: _ServiceRollout,
         order: RolloutOrder,
     ) -> StoredRollout | None:
-        """Return what the store holds once nobody else leads; else None."""
+        """Wait until no other instance leads and return the stored rollout.
+
+        Return None if this instance is no longer responsible.
+        """
         stored = await self._store.read(service)
         while self._is_led_elsewhere(stored, order):
-            await asyncio.sleep(_OTHERS_LOOK_S)
+            await asyncio.sleep(_TAKEOVER_S)
             if not self._is_led_here(service, known, order.revision):
                 return None
             latest = await self._store.read(service)
@@ -207,39 +223,40 @@
     async def _run(
         self,
         service: str,
-        known: _Known,
+        known: _ServiceRollout,
         order: RolloutOrder,
         stored: StoredRollout,
     ) -> None:
         if stored.status is not None and stored.status.concludes(order):
             known.status = stored.status
-            self._tell(service, known)
+            self._notify_dispatcher(service, known)
             return
-        rollout = self._started(known, order, stored)
-        stored = await self._begin(service, rollout, stored)
+        rollout = self._continued(known, order, stored)
+        stored = await self._take_over(service, rollout, stored)
         while self._is_led_here(service, known, order.revision):
             now = self._loop.time()
             verdict = rollout.verdict(now, *self._dispatcher.places(service))
-            # The desired state may name the service only now.
+            # The service may have been added to the desired state meanwhile.
             self._dispatcher.lead(service, rollout)
             if verdict is not None:
-                await self._end(service, known, rollout, stored, verdict)
+                await self._finish(service, known, rollout, stored, verdict)
                 return
             if rollout.is_write_due(now):
                 stored = await self._write(service, rollout, stored)
-                self._log_exposed(service, rollout)
-            await asyncio.sleep(_LOOK_S)
+                self._log_exposure(service, rollout)
+            await asyncio.sleep(_CHECK_S)
         await self._step_down(service, rollout, stored)
 
-    async def _begin(
+    async def _take_over(
         self,
         service: str,
         rollout: Rollout,
         stored: StoredRollout,
     ) -> StoredRollout:
-        """Take the roll-out over; return what stands in the store.
+        """Take over the rollout; return its stored state.
 
-        Whoever led before can neither write a record nor a status then.
+        After this, writes of the previous leader fail, both of records and of
+        the status.
         """
         order = rollout.order
         stored = await self._write(service, rollout, stored)
@@ -256,17 +273,17 @@
         )
         return stored
 
-    def _started(
+    def _continued(
         self,
-        known: _Known,
+        known: _ServiceRollout,
         order: RolloutOrder,
         stored: StoredRollout,
     ) -> Rollout:
-        """Return the roll-out as it goes on from its record.
+        """Return the rollout, continued from its stored record.
 
-        Time runs from the order: who was there when it came knows when it
-        was by a clock that nobody sets, others go by the record and by the
-        time of day since.
+        Time is counted from the order. An instance that was running when the
+        order arrived uses its monotonic clock; others use the elapsed time of
+        the record plus the wall clock time since then.
         """
         record = stored.record
         if record is None or record.order != order.revision:
@@ -277,7 +294,7 @@
             known.rollout = rollout
         else:
             rollout.resume(record)
-        if record.day_s and not known.has_come:
+        if record.day_s and not known.is_live:
             since_s = record.elapsed_s + max(0, time.time() - record.day_s)
             began_at = self._loop.time() - since_s
             rollout.began_at = min(rollout.began_at, began_at)
@@ -299,20 +316,20 @@
         rollout.record_written(record, asked_at)
         return written
 
-    async def _end(
+    async def _finish(
         self,
         service: str,
-        known: _Known,
+        known: _ServiceRollout,
         rollout: Rollout,
         stored: StoredRollout,
         verdict: Verdict,
     ) -> None:
-        self._log_judged(service, rollout, verdict)
+        self._log_verdict(service, rollout, verdict)
         status = RolloutStatus(rollout.order.target, verdict.state, 0)
         written = await self._store.tell(service, status, stored)
         if known.order == rollout.order:
             known.status = written.status
-            self._tell(service, known)
+            self._notify_dispatcher(service, known)
         self._log.event(
             Event.rollout_ended,
             service=service,
@@ -326,7 +343,7 @@
         rollout: Rollout,
         stored: StoredRollout,
     ) -> None:
-        """Leave the roll-out to the next owner without a wait."""
+        """Release the rollout so that the next owner can take over at once."""
         self._dispatcher.lead(service, None)
         now = self._loop.time()
         record = rollout.next_record('', now, time.time())
@@ -334,7 +351,7 @@
 
     # -- log
 
-    def _log_order(self, service: str, known: _Known) -> None:
+    def _log_order(self, service: str, known: _ServiceRollout) -> None:
         order = known.order
         self._log.event(
             Event.rollout_ordered,
@@ -344,7 +361,7 @@
             revision=None if order is None else order.revision,
         )
 
-    def _log_exposed(self, service: str, rollout: Rollout) -> None:
+    def _log_exposure(self, service: str, rollout: Rollout) -> None:
         now = self._loop.time()
         self._log.event(
             Event.rollout_exposes,
@@ -358,7 +375,7 @@
             bad=rollout.analysis.bad,
         )
 
-    def _log_judged(
+    def _log_verdict(
         self,
         service: str,
         rollout: Rollout,
@@ -378,10 +395,10 @@
             bad=rollout.analysis.bad,
         )
 
-    def _log_failed(self, service: str, cause: str) -> None:
+    def _log_store_failure(self, service: str, cause: str) -> None:
         self._log.event(
             Event.store_call_failed,
-            cause=f'roll-out of {service}: {cause}',
+            cause=f'rollout of {service}: {cause}',
         )
 
 
@@ -393,7 +410,7 @@
     owns: Callable[[str], bool],
     log: EventLog,
 ) -> Rollouts:
-    """Return the roll-outs of an instance, with a store client of its own."""
+    """Return the rollouts of an instance, using a separate store client."""
     bounds = options.bounds
     return Rollouts(
         dispatcher,
@@ -406,7 +423,7 @@
 
 
 def _is_running(stored: StoredRollout, order: RolloutOrder) -> bool:
-    """Return whether the status says already that an order runs."""
+    """Return whether the stored status already marks the order as running."""
     status = stored.status
     if status is None or status.state is not RolloutState.running:
         return False
--- a/packages/entry/src/tallyhall_entry/use_news.py
+++ b/packages/entry/src/tallyhall_entry/use_news.py
@@ -1,9 +1,10 @@
-"""Hears at once what all have used, where that decides about a request.
+"""Refreshes quota use from the hubs when it decides about a request.
 
-A beat is spaced for calm: what others admitted a second ago matters little to
-a quota of which one half is used. Where a quota is nearly used it is told to
-the hubs at once and asked of them, and nobody is refused for his quota by
-older knowledge than that.
+The heartbeat interval is chosen for moderate use: while half of a quota is
+used, the admissions of others in the last second matter little. When a quota is
+nearly used up, this instance sends its use to the hubs and requests theirs
+immediately. No request is refused for its quota based on data that is older
+than this refresh.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
 
-# Hubs answer in 3 ms, busy ones in 50; a request that would be refused waits
-# for it no longer than this, in seconds.
-_ANSWER_S = 0.1
-_LOOK_S = 0.01
+# Maximum time, in seconds, that a request waits for the hubs before it is
+# refused. Hubs respond in 3 ms, busy ones in 50 ms.
+_ANSWER_TIMEOUT_S = 0.1
+_POLL_S = 0.01
 
 
 class UseNews:
-    """Asks the hubs what all have used, and answers those that ask."""
+    """Requests the use of the fleet from hubs and answers such requests."""
 
     def __init__(
         self,
@@ -35,69 +36,75 @@
         quotas: Quotas,
         take_known: Callable[[], None],
     ) -> None:
-        """Ask for these quotas; `take_known` takes what has been answered."""
+        """Initialize.
+
+        take_known: applies the answers received so far to the quotas.
+        """
         self._links = links
         self._quotas = quotas
         self._take_known = take_known
         self._loop = asyncio.get_running_loop()
         self._hubs: frozenset[str] = frozenset()
-        # Whom the next batch asks for an answer at once.
-        self._asked: set[str] = set()
-        self._asked_at = float('-inf')
-        self._asking: asyncio.Task[None] | None = None
+        # Peers whose next batch requests an immediate answer.
+        self._to_request: set[str] = set()
+        self._requested_at = float('-inf')
+        self._refresh_task: asyncio.Task[None] | None = None
 
     def look(self, hubs: frozenset[str]) -> frozenset[str]:
-        """Take who the hubs are; return whom to ask now."""
+        """Update the hubs; return those to send a request to now."""
         self._hubs = hubs & self._links.peers.keys()
         now = self._loop.time()
         if is_mesh(self._links.instances):
             return frozenset()
-        if now - self._asked_at < self._quotas.refresh_s:
+        if now - self._requested_at < self._quotas.refresh_s:
             return frozenset()
         if not self._quotas.take_refresh_wanted():
             return frozenset()
-        return self.mark_hubs()
+        return self.request_answers()
+
+    def request_answers(self) -> frozenset[str]:
+        """Request immediate answers in the next batches to the hubs.
 
-    def mark_hubs(self) -> frozenset[str]:
-        """Return the hubs; their next batches ask for an answer at once."""
-        self._asked_at = self._loop.time()
-        self._asked.update(self._hubs)
+        Return the hubs.
+        """
+        self._requested_at = self._loop.time()
+        self._to_request.update(self._hubs)
         return self._hubs
 
-    def is_old(self, now: float) -> bool:
-        """Return whether asking would bring newer knowledge."""
+    def is_stale(self, now: float) -> bool:
+        """Return whether a refresh would yield newer data."""
         if is_mesh(self._links.instances) or not self._hubs:
             return False
         known_at = self._quotas.known_at
         return known_at is None or now - known_at >= self._quotas.refresh_s
 
     async def ask(self) -> bool:
-        """Ask what all have used; return whether something newer is known."""
+        """Refresh the use of the fleet; return whether a refresh was needed."""
         now = self._loop.time()
-        if not self.is_old(now):
+        if not self.is_stale(now):
             return False
-        if self._asking is None or self._asking.done():
-            self._asking = asyncio.create_task(self._ask(now))
-        await asyncio.shield(self._asking)
+        if self._refresh_task is None or self._refresh_task.done():
+            self._refresh_task = asyncio.create_task(self._refresh(now))
+        await asyncio.shield(self._refresh_task)
         return True
 
     def take(self, peer: Peer, batch: peers_pb2.Batch) -> None:
-        """Answer whoever asks."""
+        """Answer a batch that requests an immediate answer."""
         if batch.answer_now:
             self._links.outgoing(peer.name, urgent=True)
 
     def fill(self, peer: Peer, batch: peers_pb2.Batch) -> None:
-        """Ask whoever is to be asked."""
-        batch.answer_now = peer.name in self._asked
-        self._asked.discard(peer.name)
+        """Add the request for an immediate answer to an outgoing batch."""
+        batch.answer_now = peer.name in self._to_request
+        self._to_request.discard(peer.name)
 
-    # -- inner steps
+    # -- internal
 
-    async def _ask(self, now: float) -> None:
-        for hub in self.mark_hubs():
+    async def _refresh(self, now: float) -> None:
+        for hub in self.request_answers():
             self._links.outgoing(hub, urgent=True)
-        while self._loop.time() < now + _ANSWER_S:
-            await asyncio.sleep(_LOOK_S)
+        while self._loop.time() < now + _ANSWER_TIMEOUT_S:
+            await asyncio.sleep(_POLL_S)
             self._take_known()
             known_at = self._quotas.known_at
             if known_at is not None and known_at >= now:
--- a/packages/entry/src/tallyhall_entry/uses.py
+++ b/packages/entry/src/tallyhall_entry/uses.py
@@ -1,4 +1,4 @@
-"""The use of quotas that one instance writes to the store for all."""
+"""Quota use that a single instance writes to the store for the fleet."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class WrittenUse:
-    """The use as the instance that writes it knows it; a `UseSource`."""
+    """A `UseSource` that supplies the quota use known to the writer."""
 
     def __init__(self, quotas: Quotas, is_writer: Callable[[], bool]) -> None:
-        """Offer these quotas while this instance is the writer."""
+        """Supply the use of these quotas while this instance is the writer."""
         self._quotas = quotas
         self._is_writer = is_writer
         self._loop = asyncio.get_running_loop()
 
     def due(self) -> Written | None:
-        """Return what must be written now, None for nothing."""
+        """Return the use to be written now, None for no write."""
         if self._is_writer():
             return self._quotas.due_writing(self._loop.time())
         self._quotas.note_written({})
         return None
 
     def written(self, use: Written) -> None:
-        """Take that the store has it."""
+        """Record that the use was stored."""
         self._quotas.note_written(use)
--- a/tests/platform/quota_fleet.py
+++ b/tests/platform/quota_fleet.py
@@ -195,11 +195,11 @@
         if self._enter(number, amount):
             return
         node = self.nodes[number]
-        if not node.use_news.is_old(now):
+        if not node.use_news.is_stale(now):
             self.denied += amount * fits
             return
         # As a request waits for the answers of the hubs.
-        for hub in sorted(node.use_news.mark_hubs()):
+        for hub in sorted(node.use_news.request_answers()):
             self.tell(node, hub)
         self._at(_ANSWERS_S, lambda: self._ask_again(number, amount))
 
