--- a/tests/platform/quota_fleet.py
+++ b/tests/platform/quota_fleet.py
@@ -1,7 +1,7 @@
-"""Instances that admit and report to each other; only the streams are missing.
+"""Simulated fleet of instances that admit requests and exchange use reports.
 
-Time is simulated: a batch is filled by its sender, arrives after a delay and
-is taken by its receiver, all by the product's own parts.
+Time and the streams are simulated: batches are filled and processed by the
+product code and arrive after a delay.
 """
 
 import asyncio
@@ -33,17 +33,17 @@
 WINDOW_S = 8
 _TICK_S = 0.05
 _LARGE = 50_000
-# The first batch of a stream leaves as soon as it is open.
-_FIRST_BEAT_S = 0.15
-# Hubs have answered after this long.
+# Maximum delay of the first batch of a stream.
+_MAX_FIRST_BEAT_S = 0.15
+# Time after which hubs have answered a query.
 _ANSWERS_S = 0.06
 
 
 class Clock:
-    """The steady time of all instances."""
+    """The simulated monotonic clock of all instances."""
 
     def __init__(self) -> None:
-        """Start late enough for all to know the last window."""
+        """Start late enough for all instances to know a full window."""
         self.now: float = 1000
 
     def read(self) -> float:
@@ -65,7 +65,7 @@
     hubs: frozenset[str] = frozenset()
 
     def look(self, now: float) -> None:
-        """Take what is known of the fleet now."""
+        """Update the known state of the fleet."""
         links = self.links
         seen = self.neighbours.look(now, leaving=False)
         size = links.instances
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """What callers send: tokens a second at a time, and to which instance."""
+    """A load: tokens per second at a time, and the choice of instances."""
 
     per_s: Callable[[float], float]
     pick: Callable[[random.Random], int]
@@ -88,7 +88,7 @@
 
 
 class QuotaFleet:
-    """All instances, their batches on the way, and what they admitted."""
+    """All instances, their batches in transit, and what they admitted."""
 
     def __init__(
         self,
@@ -98,14 +98,14 @@
         bounds: QuotaBounds,
         seed: int = 1,
     ) -> None:
-        """Start all, each knowing all others from the store."""
+        """Start all instances; each knows all others from the store."""
         self.taken: list[tuple[float, float]] = []
         self.cut: frozenset[int] = frozenset()
-        # What fitted into the quota and was refused, and all that fitted.
+        # Amounts that fitted into the quota: those refused, and all.
         self.denied: float = 0
         self.fitted: float = 0
         self.delay_s = (0.001, 0.02)
-        # Whether those that are cut off reach each other.
+        # Whether isolated instances are also cut off from each other.
         self.cut_apart = True
         self.rng = random.Random(seed)
         self._clock = clock
@@ -130,21 +130,21 @@
 
     @property
     def allowed(self) -> float:
-        """Return the quota with all that it may be exceeded by."""
+        """Return the quota plus its maximum overshoot."""
         return self.limit * (1 + self._bounds.overshoot) + self._bounds.slack
 
     @property
     def used(self) -> float:
-        """Return what was admitted in the last window."""
+        """Return the amount admitted in the last window."""
         return self._used(self._clock.now)
 
     @property
     def most(self) -> float:
-        """Return what was admitted in the fullest window."""
+        """Return the largest amount admitted in any window."""
         return most_in_window(self.taken, WINDOW_S)
 
     def run(self, seconds: float, load: Load | None = None) -> None:
-        """Let time pass while callers send."""
+        """Advance time while callers send requests."""
         ends_at = self._clock.now + seconds
         asks_at = self._next_ask(load)
         while True:
@@ -162,9 +162,10 @@
             due[2]()
 
     def restart(self, numbers: Iterable[int]) -> None:
-        """Lose these at the same moment; each has what was written before.
+        """Kill and restart these instances at the same time.
 
-        The streams to and from them are opened anew within half a second.
+        They restore the use stored before. Streams to and from them are
+        reopened within half a second.
         """
         gone = [self.nodes[number] for number in numbers]
         names = {node.name for node in gone}
@@ -188,7 +189,7 @@
                     )
 
     def ask(self, number: int, amount: float) -> None:
-        """Let one instance admit a request if it will."""
+        """Send a request to one instance."""
         now = self._clock.now
         fits = self._used(now) + amount <= self.limit
         self.fitted += amount * fits
@@ -198,7 +199,7 @@
         if not node.use_news.is_stale(now):
             self.denied += amount * fits
             return
-        # As a request waits for the answers of the hubs.
+        # The request waits for the answers of the hubs.
         for hub in sorted(node.use_news.request_answers()):
             self.tell(node, hub)
         self._at(_ANSWERS_S, lambda: self._ask_again(number, amount))
@@ -239,7 +240,7 @@
         return True
 
     def _ask_owner(self, node: Node) -> None:
-        """Ask a hub for a place and be answered, as each request does."""
+        """Exchange batches with a hub, as every request does to get a slot."""
         owner = self.rng.choice(sorted(node.hubs))
         if owner != node.name:
             self.tell(node, owner)
@@ -278,7 +279,7 @@
         first = self.rng.random()
         self._at(first * _TICK_S, functools.partial(self._tick, node))
         self._at(
-            first * min(_FIRST_BEAT_S, node.links.beat_s),
+            first * min(_MAX_FIRST_BEAT_S, node.links.beat_s),
             functools.partial(self._beat, node),
         )
 
@@ -310,7 +311,7 @@
         return self._clock.now + self.rng.expovariate(per_s)
 
     def _amount(self, mean: float) -> float:
-        """Return a size; one in a hundred is 12 times the mean."""
+        """Return a random size; one in a hundred is 12.5 times the mean."""
         if self.rng.random() < 0.01:
             return _LARGE * mean / 4000
         return min(12 * mean, self.rng.lognormvariate(-0.72, 1.1) * mean)
@@ -352,7 +353,7 @@
 
 
 def simulated() -> Clock:
-    """Put the running loop on simulated time."""
+    """Make the running event loop use a simulated clock."""
     clock = Clock()
     loop = asyncio.get_running_loop()
     loop.time = clock.read  # type: ignore[method-assign]
@@ -361,7 +362,7 @@
 
 def _take(talk: Talk, peer: Peer, batch: peers_pb2.Batch) -> None:
     talk.take(peer, batch)
-    # As the jobs' part of a batch does.
+    # Done by the job part of a batch in the product.
     peer.incarnation = batch.incarnation
 
 
@@ -376,4 +377,4 @@
 
 
 def _ignore(*_: object) -> None:
-    """Take anything."""
+    """Accept and ignore any arguments."""
--- a/tests/platform/test_leavers.py
+++ b/tests/platform/test_leavers.py
@@ -1,4 +1,4 @@
-"""Upstreams that said themselves that they leave, and their entries."""
+"""Upstreams that announce their shutdown, and their entries in the store."""
 
 import random
 
@@ -15,7 +15,7 @@
     )
 
 
-def test_it_is_said_once() -> None:
+def test_announcement_is_new_only_once() -> None:
     leavers = Leavers()
     assert leavers.add('u')
     assert not leavers.add('u')
@@ -23,13 +23,13 @@
     assert not leavers.marked(_upstream('v')).leaving
 
 
-def test_another_start_has_said_nothing() -> None:
+def test_announcement_does_not_apply_to_another_incarnation() -> None:
     leavers = Leavers()
     leavers.add(_upstream('u', 1).incarnation)
     assert not leavers.marked(_upstream('u', 2)).leaving
 
 
-def test_room_is_bounded_and_the_newest_are_kept() -> None:
+def test_size_is_bounded_and_the_newest_are_kept() -> None:
     leavers = Leavers()
     for number in range(_MANY):
         leavers.add(f'u{number}')
@@ -37,7 +37,7 @@
     assert 'u0' not in leavers
 
 
-async def test_entries_take_nothing_back() -> None:
+async def test_entries_do_not_revoke_an_announcement() -> None:
     dispatcher = Dispatcher(random.Random(1))
     dispatcher.take_upstreams((_upstream('u'),))
     assert dispatcher.is_usable('u')
--- a/tests/platform/test_membership.py
+++ b/tests/platform/test_membership.py
@@ -1,4 +1,4 @@
-"""Which instances count where something is divided; time is an argument."""
+"""Instances that count for divided limits; time is passed as an argument."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 _ADMITS_S = 3.7
 _UNSEEN_S = 1.6
 _ALL = ('a', 'b', 'c')
-_NOBODY: dict[str, float] = {}
+_NOT_HEARD: dict[str, float] = {}
 
 
 def _entries(*names: str, leaving: str = '') -> dict[str, bool]:
@@ -22,72 +22,72 @@
 
 def test_an_instance_counts_itself_before_it_knows_anything() -> None:
     alone = FleetCount(registered=frozenset('a'))
-    assert Membership('a', _ADMITS_S, _UNSEEN_S).count(_NOBODY, 0) == alone
+    assert Membership('a', _ADMITS_S, _UNSEEN_S).count(_NOT_HEARD, 0) == alone
 
 
-def test_one_that_stops_counts_until_its_entry_ends() -> None:
+def test_stopping_instance_counts_until_its_entry_is_removed() -> None:
     membership = _full()
     membership.take_entries(_entries(*_ALL, leaving='b'), 1)
     count = membership.count({'b': 1}, 1)
     assert count.leaving == {'b'}
     assert count.members == set(_ALL)
     membership.take_entries(_entries('a', 'c'), 9)
-    # Its last beat came before.
+    # Its last heartbeat came earlier.
     assert membership.count({'b': 8.9}, 9).members == {'a', 'c'}
 
 
-def test_one_that_is_heard_after_its_end_counts_again() -> None:
+def test_instance_heard_after_its_removal_counts_again() -> None:
     membership = _full()
     membership.take_entries(_entries(*_ALL, leaving='b'), 1)
     membership.take_entries(_entries('a', 'c'), 9)
     assert membership.count({'b': 9.5}, 10).vanished == {'b'}
 
 
-def test_an_entry_without_a_mark_counts_until_it_cannot_admit() -> None:
+def test_vanished_instance_counts_until_it_cannot_admit() -> None:
     membership = _full()
     membership.take_entries(_entries('a', 'c'), 10)
     assert membership.count({'b': 7}, 10).vanished == {'b'}
-    # It was silent for 1.6 s at least when its entry went.
+    # It had been silent for at least 1.6 s when its entry expired.
     assert membership.count({'b': 7}, 12).vanished == {'b'}
     assert not membership.count({'b': 7}, 12.11).vanished
 
 
-def test_one_that_was_heard_later_than_its_entry_tells_counts_longer() -> None:
+def test_vanished_instance_counts_from_its_last_message() -> None:
     membership = _full()
     membership.take_entries(_entries('a', 'c'), 10)
     assert membership.count({'b': 9.9}, 13.5).vanished == {'b'}
     assert not membership.count({'b': 9.9}, 13.61).vanished
 
 
-def test_one_whose_entry_went_holds_no_places() -> None:
+def test_vanished_instance_holds_no_slots() -> None:
     membership = _full()
     membership.take_entries(_entries('a', 'c', leaving='c'), 10)
-    assert membership.count(_NOBODY, 10).members == set(_ALL)
-    assert membership.count(_NOBODY, 10).holders == {'a', 'c'}
+    assert membership.count(_NOT_HEARD, 10).members == set(_ALL)
+    assert membership.count(_NOT_HEARD, 10).holders == {'a', 'c'}
 
 
-def test_one_that_is_heard_counts_without_an_entry() -> None:
+def test_heard_instance_counts_without_an_entry() -> None:
     membership = _full()
     membership.take_entries(_entries('a', 'c'), 10)
     assert membership.count({'b': 30}, 30.1).vanished == {'b'}
-    # Also where its stream is gone meanwhile.
+    # Also if its stream has been closed since.
     assert membership.count({'d': 30}, 33.6).vanished == {'b', 'd'}
     assert not membership.count({'d': 30}, 33.71).vanished
 
 
-def test_one_that_comes_back_is_registered() -> None:
+def test_returning_instance_is_registered() -> None:
     membership = _full()
     membership.take_entries(_entries('a', 'c'), 10)
     membership.take_entries(_entries(*_ALL), 11)
-    assert membership.count(_NOBODY, 11) == FleetCount(frozenset(_ALL))
+    assert membership.count(_NOT_HEARD, 11) == FleetCount(frozenset(_ALL))
 
 
-def test_its_own_entry_does_not_matter_to_an_instance() -> None:
+def test_own_entry_may_be_missing() -> None:
     membership = _full()
     membership.take_entries(_entries('b'), 10)
-    assert 'a' in membership.count(_NOBODY, 20).registered
+    assert 'a' in membership.count(_NOT_HEARD, 20).registered
     membership.take_entries(_entries('a', 'b', leaving='a'), 21)
-    assert membership.count(_NOBODY, 21).leaving == {'a'}
+    assert membership.count(_NOT_HEARD, 21).leaving == {'a'}
 
 
 @given(
@@ -100,10 +100,10 @@
         max_size=60,
     ),
 )
-def test_nobody_who_may_admit_is_left_out(
+def test_every_instance_that_may_admit_counts(
     steps: list[tuple[float, str, str]],
 ) -> None:
-    """Who has an entry, or lost it unmarked or spoke lately, counts."""
+    """Instances count if registered, recently heard or vanished unmarked."""
     membership = Membership('self', _ADMITS_S, _UNSEEN_S)
     entries: dict[str, bool] = {}
     heard: dict[str, float] = {}
@@ -125,7 +125,7 @@
         members = membership.count(heard, now).members
         assert set(entries) <= members
         assert 'self' in members
-        # A lapsed entry was last renewed 1.6 s before, if not heard since.
+        # An expired entry was last renewed at least 1.6 s earlier.
         assert {
             one
             for one, since in lost.items()
--- a/tests/platform/test_quota_cut.py
+++ b/tests/platform/test_quota_cut.py
@@ -1,15 +1,18 @@
-"""Instances that are cut off and have not noticed it.
-
-In a fleet of 87, 26 instances were cut from all others and the store 3 s
-after a workspace had begun to send eight times its usual; the workspace was
-admitted 6.33 million tokens in 8 s, 5.29 allowed. An instance notices a cut
-after 3.3 beats, 3.5 s there. Until then each of the 26 admitted against the
-rest of the quota that it had last heard of, as if it alone used it: 1.5
-million above the quota (events 400 with `over_quota_s`, `heard` 1, from
-instances whose `known_ms_ago` grew). After 2.5 s without news it dropped what
-hubs had told, and admitted 0.7 million more as if nothing had been used. The
-other 61 stayed within. Without a cut the same shows smaller: each admits
-against a count that is one to two beats old.
+"""Quotas while instances are partitioned and have not detected it yet.
+
+In a fleet of 87, 26 instances were cut off from all others and the store 3 s
+after a workspace had started to send eight times its usual load. The workspace
+was admitted 6.33 million tokens in 8 s instead of at most 5.29 million:
+
+- An instance detects a partition after 3.3 heartbeats, 3.5 s in this fleet.
+  Until then, each of the 26 admitted up to the remaining quota it last knew of,
+  as if it were the only one to use it: 1.5 million above the quota (events 400
+  with `over_quota_s` and `heard` 1, with a growing `known_ms_ago`).
+- After 2.5 s without reports, each of them dropped the use reported by hubs and
+  admitted 0.7 million more as if the quota were unused.
+
+The other 61 instances stayed within the quota. Without a partition the same
+effect is smaller, since counts are one to two heartbeats old.
 """
 
 import asyncio
@@ -33,8 +36,8 @@
     return Workspace('w', None, rate, burst, True, 1)
 
 
-class _Story:
-    """A surge from 2 s on, and a cut."""
+class _Scenario:
+    """A surge that starts after 2 s, and a partition."""
 
     def __init__(self, size: int, scale: float, seed: int) -> None:
         self.clock = simulated()
@@ -52,13 +55,13 @@
         self._load = Load(self._per_s, self._pick)
 
     def play(self, cut_s: float, cut: list[int]) -> None:
-        """Cut these off at a time; let them be for two windows."""
+        """Partition these instances at `cut_s` and run for two more windows."""
         self.fleet.run(10 + cut_s, self._load)
         self.fleet.cut = frozenset(cut)
         self.fleet.run(16, self._load)
 
     def hubs_first(self, hubs: int) -> list[int]:
-        """Return all numbers, so many hubs first, the other hubs last."""
+        """Return all numbers, `hubs` hubs first, the other hubs last."""
         names = sorted(self.fleet.nodes[0].hubs)
         first = [int(name[1:]) for name in names[:hubs]]
         last = [int(name[1:]) for name in names[hubs:]]
@@ -67,8 +70,8 @@
         return first + others + last
 
     def _per_s(self, now: float) -> float:
-        times = self.surge if now >= self._began_at + 2 else 1
-        return times * _USUAL * self.fleet.limit / 8
+        factor = self.surge if now >= self._began_at + 2 else 1
+        return factor * _USUAL * self.fleet.limit / 8
 
     def _pick(self, rng: random.Random) -> int:
         if rng.random() < self.skew:
@@ -76,28 +79,28 @@
         return rng.randrange(self.size)
 
 
-async def test_instances_that_are_cut_off_stay_within_the_quota() -> None:
-    """Each of 26 of 87 is cut from all, when most of the quota is used."""
-    story = _Story(87, 1, 1)
-    story.play(5, list(range(61, 87)))
-    assert story.fleet.most <= story.fleet.allowed
+async def test_isolated_instances_stay_within_the_quota() -> None:
+    """26 of 87 instances are isolated while most of the quota is used."""
+    scenario = _Scenario(87, 1, 1)
+    scenario.play(5, list(range(61, 87)))
+    assert scenario.fleet.most <= scenario.fleet.allowed
 
 
 @pytest.mark.parametrize('hubs', [0, 2, 4])
 @pytest.mark.parametrize('apart', [True, False])
 @pytest.mark.parametrize('cut_s', [1.9, 2.3])
-async def test_a_cut_as_a_surge_begins_stays_within_the_quota(
+async def test_partition_at_start_of_surge_stays_within_the_quota(
     hubs: int,
     cut_s: float,
     *,
     apart: bool,
 ) -> None:
-    """Nearly half of the quota is left as the instances lose each other."""
-    story = _Story(87, 1, 2)
-    story.fleet.run(1)
-    story.fleet.cut_apart = apart
-    story.play(cut_s, story.hubs_first(hubs)[:26])
-    assert story.fleet.most <= story.fleet.allowed
+    """Nearly half of the quota is left at the time of the partition."""
+    scenario = _Scenario(87, 1, 2)
+    scenario.fleet.run(1)
+    scenario.fleet.cut_apart = apart
+    scenario.play(cut_s, scenario.hubs_first(hubs)[:26])
+    assert scenario.fleet.most <= scenario.fleet.allowed
 
 
 @settings(max_examples=40)
@@ -109,7 +112,7 @@
     st.sampled_from((0, 0.9)),
     st.sampled_from((0.001, 0.03, 0.2)),
 )
-def test_a_mesh_stays_within_the_quota_whatever_is_cut(
+def test_mesh_stays_within_the_quota_in_any_partition(
     seed: int,
     size: int,
     cut_s: float,
@@ -117,7 +120,7 @@
     skew: float,
     slowest_s: float,
 ) -> None:
-    """Any of them, at any time, with batches up to 0.2 s under way."""
+    """Any instances are cut off at any time, with up to 0.2 s latency."""
     asyncio.run(_mesh(seed, size, cut_s, surge, skew, slowest_s))
 
 
@@ -130,31 +133,32 @@
     slowest_s: float,
 ) -> None:
     rng = random.Random(seed)
-    story = _Story(size, 0.3, seed)
-    story.surge = surge
-    story.skew = skew
-    story.fleet.delay_s = (0.0005, slowest_s)
-    story.fleet.cut_apart = rng.random() < 0.5
-    story.play(cut_s, rng.sample(range(size), rng.randrange(size)))
-    assert story.fleet.most <= story.fleet.allowed
+    scenario = _Scenario(size, 0.3, seed)
+    scenario.surge = surge
+    scenario.skew = skew
+    scenario.fleet.delay_s = (0.0005, slowest_s)
+    scenario.fleet.cut_apart = rng.random() < 0.5
+    scenario.play(cut_s, rng.sample(range(size), rng.randrange(size)))
+    assert scenario.fleet.most <= scenario.fleet.allowed
 
 
 @pytest.mark.parametrize(('size', 'scale'), [(7, 0.3), (16, 0.3), (87, 1)])
 @pytest.mark.parametrize('skew', [0, 0.9])
-async def test_a_usual_load_is_hardly_refused(
+async def test_usual_load_is_hardly_refused(
     size: int,
     scale: float,
     skew: float,
 ) -> None:
-    """0.55 of the quota for 46 s; one request in a hundred is 50,000 tokens.
+    """Less than 0.5% of what fits into the quota is refused.
 
-    Under 0.5% of what fits into the quota is refused.
+    The load is 0.55 of the quota for 46 s; one request in a hundred has 50,000
+    tokens.
     """
-    story = _Story(size, scale, 3)
-    # Until all hear each other.
-    story.fleet.run(5)
-    story.surge = 1
-    story.skew = skew
-    story.play(20, [])
-    assert story.fleet.fitted > 0
-    assert story.fleet.denied <= 0.005 * story.fleet.fitted
+    scenario = _Scenario(size, scale, 3)
+    # Until all instances hear each other.
+    scenario.fleet.run(5)
+    scenario.surge = 1
+    scenario.skew = skew
+    scenario.play(20, [])
+    assert scenario.fleet.fitted > 0
+    assert scenario.fleet.denied <= 0.005 * scenario.fleet.fitted
--- a/tests/platform/test_quota_large.py
+++ b/tests/platform/test_quota_large.py
@@ -1,16 +1,16 @@
-"""Quotas in fleets of hundreds, in which a few hubs tell what all have used.
-
-In a play of 195 instances 2,927 requests were refused for their quota whose
-workspaces had used less than theirs; one was refused everything for eight
-seconds while it used nothing. Two faults, in the log of that play:
-
-- A hub was killed and came back, took the use of all from another hub and
-  counted it again from the first reports of those that were later than 1.5 s:
-  they come 2.4 s apart at 195 instances. It told 1.04 of a quota that was used
-  to 0.63.
-- A use that falls below one half of a quota was not told any more, and what
-  was told last counted for a window longer: 1.06 of a quota that was used to
-  0.3, then to nothing.
+"""Quotas in large fleets, in which a few hubs report the use of all instances.
+
+In a run of 195 instances, 2,927 requests were refused although their workspaces
+were within their quotas; one workspace was refused everything for eight seconds
+while it used nothing. The log of that run showed two faults:
+
+- A hub that was killed and restarted adopted the fleet's use from another hub,
+  then counted it again from first reports that arrived after more than 1.5 s;
+  reports are 2.4 s apart at 195 instances. It reported 1.04 of a quota of which
+  0.63 was used.
+- Use that had fallen below half of a quota was no longer reported, and the last
+  report counted for another window: 1.06 of a quota of which 0.3, then nothing
+  was used.
 """
 
 import random
@@ -25,14 +25,14 @@
 _BOUNDS = QuotaBounds(WINDOW_S, 0.1, 140_000)
 _WORKSPACE = Workspace('w', None, 565_000, 160_000, True, 1)
 _SIZES = (87, 195, 410)
-# A play of 410 takes 20 s of processor time.
-_MOST_SIZES = (87, 195)
-# In quotas: 8 times a usual load.
+# A run of 410 instances takes 20 s of CPU time.
+_SMALLER_SIZES = (87, 195)
+# As a multiple of the quota: 8 times a usual load.
 _SURGE = 4.4
 
 
-class _Story:
-    """A load that changes over time, on any instance."""
+class _Scenario:
+    """A load that changes over time, spread over all instances."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.clock = simulated()
@@ -44,17 +44,17 @@
             seed,
         )
         self._size = size
-        # Until all hear each other.
+        # Until all instances hear each other.
         self.fleet.run(5)
 
-    def play(self, seconds: float, part: float) -> float:
-        """Use this part of the quota; return which part was refused.
+    def play(self, seconds: float, fraction: float) -> float:
+        """Send this fraction of the quota; return the fraction refused.
 
-        Only what would have fitted counts.
+        Only requests that would have fitted into the quota count.
         """
         fleet = self.fleet
         fitted, denied = fleet.fitted, fleet.denied
-        per_s = part * fleet.limit / WINDOW_S
+        per_s = fraction * fleet.limit / WINDOW_S
         fleet.run(seconds, Load(lambda now: per_s, self._pick))
         return (fleet.denied - denied) / max(1, fleet.fitted - fitted)
 
@@ -71,58 +71,60 @@
         return rng.randrange(self._size)
 
 
-@pytest.mark.parametrize('size', _MOST_SIZES)
-async def test_a_use_that_has_fallen_is_known(size: int) -> None:
-    """A workspace at its limit stops to ask, and has its quota again.
+@pytest.mark.parametrize('size', _SMALLER_SIZES)
+async def test_decreased_use_is_known(size: int) -> None:
+    """A workspace at its limit can use its quota again after a pause.
 
-    Its window is over after 8 s; what was told of it may be as old as the
-    slowest beat.
+    Its window ends after 8 s; reports of its use may be as old as the longest
+    heartbeat interval.
     """
-    story = _Story(size, 1)
-    story.play(10, 1.5)
-    story.fleet.run(WINDOW_S + 1)
-    assert story.play(3, 0.3) <= 0.01
-    assert story.fleet.most <= story.fleet.allowed
+    scenario = _Scenario(size, 1)
+    scenario.play(10, 1.5)
+    scenario.fleet.run(WINDOW_S + 1)
+    assert scenario.play(3, 0.3) <= 0.01
+    assert scenario.fleet.most <= scenario.fleet.allowed
 
 
 @pytest.mark.parametrize(
     ('size', 'hubs'),
     [(87, 1), (87, 4), (195, 1), (195, 4), (410, 1)],
 )
-async def test_a_hub_that_comes_back_counts_nothing_twice(
+async def test_restarted_hub_counts_nothing_twice(
     size: int,
     hubs: int,
 ) -> None:
-    """Hardly anything of a usual load is refused meanwhile.
+    """Restarted hubs hardly refuse anything of a usual load.
 
-    Under 5 in 100 with one hub lost; with all lost it is not known for a moment
-    what was used, and of what is assumed 0.6 of the quota is the least.
+    With one hub lost, less than 5% is refused. With all hubs lost, the use is
+    unknown for a moment and is assumed to be at least 0.6 of the quota.
     """
-    story = _Story(size, 2)
-    story.play(10, 0.55)
-    story.fleet.restart(story.hubs()[:hubs])
-    assert story.play(12, 0.55) <= (0.05 if hubs == 1 else 0.2)
-    assert story.fleet.most <= story.fleet.allowed
-
-
-@pytest.mark.parametrize('size', _MOST_SIZES)
-async def test_many_that_come_back_refuse_hardly_anything(size: int) -> None:
-    """An eighth of the fleet at once; what they take over is counted once."""
-    story = _Story(size, 3)
-    story.play(10, 0.55)
+    scenario = _Scenario(size, 2)
+    scenario.play(10, 0.55)
+    scenario.fleet.restart(scenario.hubs()[:hubs])
+    assert scenario.play(12, 0.55) <= (0.05 if hubs == 1 else 0.2)
+    assert scenario.fleet.most <= scenario.fleet.allowed
+
+
+@pytest.mark.parametrize('size', _SMALLER_SIZES)
+async def test_many_restarted_instances_hardly_refuse_anything(
+    size: int,
+) -> None:
+    """An eighth of the fleet restarts; adopted use is not counted twice."""
+    scenario = _Scenario(size, 3)
+    scenario.play(10, 0.55)
     rng = random.Random(3)
-    story.fleet.restart(rng.sample(range(size), size // 8))
-    assert story.play(12, 0.55) <= 0.05
-    assert story.fleet.most <= story.fleet.allowed
+    scenario.fleet.restart(rng.sample(range(size), size // 8))
+    assert scenario.play(12, 0.55) <= 0.05
+    assert scenario.fleet.most <= scenario.fleet.allowed
 
 
 @pytest.mark.parametrize('size', _SIZES)
-async def test_a_calm_fleet_refuses_hardly_anything(size: int) -> None:
-    """Under 1 in 100 of what fits, where a tenth more is used than usual."""
-    story = _Story(size, 4)
-    story.play(10, 0.6)
-    assert story.play(10, 0.6) <= 0.01
-    assert story.fleet.most <= story.fleet.allowed
+async def test_moderate_load_is_hardly_refused(size: int) -> None:
+    """Less than 1% of what fits is refused at 1.1 times the usual load."""
+    scenario = _Scenario(size, 4)
+    scenario.play(10, 0.6)
+    assert scenario.play(10, 0.6) <= 0.01
+    assert scenario.fleet.most <= scenario.fleet.allowed
 
 
 @pytest.mark.parametrize(
@@ -137,39 +139,40 @@
     ],
 )
 async def test_a_hot_workspace_has_its_quota(size: int, times: float) -> None:
-    """95 in 100 of its quota is used on the average where more is asked for.
+    """At a demand above the quota, 95% of it is used on average.
 
-    Not at each moment: what is admitted at once leaves the window at once.
+    Not at every moment: amounts admitted together leave the window together.
     """
-    story = _Story(size, 5)
-    story.play(10, 0.55)
-    story.play(8, times)
+    scenario = _Scenario(size, 5)
+    scenario.play(10, 0.55)
+    scenario.play(8, times)
     used: list[float] = []
     for _ in range(32):
-        story.play(0.25, times)
-        used.append(story.fleet.used / story.fleet.limit)
+        scenario.play(0.25, times)
+        used.append(scenario.fleet.used / scenario.fleet.limit)
     assert statistics.mean(used) >= 0.95
-    assert story.fleet.most <= story.fleet.allowed
+    assert scenario.fleet.most <= scenario.fleet.allowed
 
 
 @pytest.mark.parametrize('seed', [1, 4])
 async def test_a_flood_stays_within_the_quota(seed: int) -> None:
-    """All instances have a request of it at any moment.
+    """All instances have a pending request at any moment.
 
-    What had come at once leaves at once, and each admitted one into the room.
+    Amounts admitted together leave the window together, and every instance
+    admitted a request into the freed quota.
     """
-    story = _Story(195, seed)
-    story.play(10, 0.55)
-    story.play(8, 8)
+    scenario = _Scenario(195, seed)
+    scenario.play(10, 0.55)
+    scenario.play(8, 8)
     for _ in range(32):
-        story.play(0.25, 8)
-    assert story.fleet.most <= story.fleet.allowed
+        scenario.play(0.25, 8)
+    assert scenario.fleet.most <= scenario.fleet.allowed
 
 
-@pytest.mark.parametrize('size', _MOST_SIZES)
-async def test_what_stays_below_a_quota_is_hardly_refused(size: int) -> None:
-    """Under 5 in 100 of what fits, where nearly all of a quota is asked for."""
-    story = _Story(size, 6)
-    story.play(10, 0.55)
-    assert story.play(16, 0.9) <= 0.05
-    assert story.fleet.most <= story.fleet.allowed
+@pytest.mark.parametrize('size', _SMALLER_SIZES)
+async def test_load_just_below_the_quota_is_hardly_refused(size: int) -> None:
+    """Less than 5% of what fits is refused at a demand of 0.9 of the quota."""
+    scenario = _Scenario(size, 6)
+    scenario.play(10, 0.55)
+    assert scenario.play(16, 0.9) <= 0.05
+    assert scenario.fleet.most <= scenario.fleet.allowed
--- a/tests/platform/test_quota_returns.py
+++ b/tests/platform/test_quota_returns.py
@@ -1,13 +1,12 @@
-"""What was charged for a request that did not run.
-
-Under load most of what was admitted waits and is given up. A workspace was
-admitted more than its quota although no instance had a wrong count of what
-ran. A charge was returned as a negative amount at the time of the return.
-When the charge left the window the return was still in it, and the sum was
-too low by that amount for as long as the request had waited. A day of high
-load showed 0.7 million tokens a second of such returns (events 400 without
-401), and their sum was the sum of what was admitted too much. A caller that
-left before its request was sent was never given its charge back.
+"""Refunds of quota charges for requests that did not run.
+
+Under load, most admitted requests wait and are given up. A workspace was
+admitted more than its quota although all instances counted correctly what ran:
+a refund was booked as a negative amount at the time of the refund, so it stayed
+in the window after its charge had left it, and the sum was too low for as long
+as the request had waited. A day of high load had 0.7 million tokens per second
+of such refunds (events 400 without 401), which added up to the excess. Also, a
+caller that disconnected before its request was sent got no refund.
 """
 
 import asyncio
@@ -64,8 +63,8 @@
         return None
 
 
-def test_a_return_does_not_outlive_its_charge() -> None:
-    """One waits 4 s and is given up; the quota is used once, not twice."""
+def test_refund_leaves_the_window_with_its_charge() -> None:
+    """A request is given up after 4 s; the quota is used once, not twice."""
     gate = _gate()
     waiting = _admit(gate, 900, 0)
     assert waiting is not None
@@ -74,7 +73,7 @@
     assert _admit(gate, 900, 8.4) is None
 
 
-async def test_others_take_a_return_back_where_it_was_charged() -> None:
+async def test_others_book_a_refund_at_the_time_of_its_charge() -> None:
     clock = simulated()
     fleet = QuotaFleet(clock, 2, _WORKSPACE, _BOUNDS)
     gate, other = (node.gate for node in fleet.nodes)
@@ -90,12 +89,12 @@
     assert other.quotas.take('shop', 900, clock.now) > 0
 
 
-async def test_returns_that_waited_unequally_hide_nothing_that_ran() -> None:
-    """Of three charges of 300 the first and the last are returned at once.
+async def test_refunds_of_unequal_age_hide_no_executed_request() -> None:
+    """Of three charges of 300, the first and the last are refunded together.
 
-    They waited 7 s and 0.2 s. Taken back at the mean of that, both came off
-    the one between, which ran: when the first left the window, the sum of
-    the other instance was 0 for 3 s.
+    They waited 7 s and 0.2 s. When both were booked at the mean of these ages,
+    they cancelled the charge in between, whose request ran: the other
+    instance's sum was 0 for 3 s after the first charge left the window.
     """
     clock = simulated()
     fleet = QuotaFleet(clock, 2, _WORKSPACE, _BOUNDS)
@@ -125,17 +124,17 @@
         max_size=80,
     ),
 )
-def test_what_ran_stays_within_the_quota_whatever_is_returned(
+def test_executed_requests_stay_within_the_quota(
     steps: list[tuple[float, int, float, bool]],
 ) -> None:
-    """Each request waits; then it runs or its charge is returned."""
+    """Each request waits, then it runs or its charge is refunded."""
     gate = _gate()
     waiting: list[tuple[float, Admitted]] = []
     ran: list[tuple[float, float]] = []
     now: float = 0
     for pause, tokens, wait_s, runs in steps:
         now += pause
-        waiting.sort(key=lambda one: one[0])
+        waiting.sort(key=lambda entry: entry[0])
         while waiting and waiting[0][0] <= now:
             ends_at, unserved = waiting.pop(0)
             gate.give_back(unserved, ends_at)
@@ -149,8 +148,11 @@
     assert most_in_window(ran, _WINDOW_S) <= _LIMIT * 1.1
 
 
-async def test_a_caller_that_leaves_unsent_gives_its_charge_back() -> None:
-    """Four public requests hold all places; then the quota is needed."""
+async def test_caller_that_disconnects_before_the_send_is_refunded() -> None:
+    """A request is abandoned while four public ones occupy all slots.
+
+    The next request only fits into the quota if the abandoned one was refunded.
+    """
     async with deployment() as made:
         engine = await made.add_engine('model-0', event_s=0.15)
         await made.ready()
--- a/tests/platform/test_quota_seen.py
+++ b/tests/platform/test_quota_seen.py
@@ -1,4 +1,4 @@
-"""What was known of a quota is told with each decision on it."""
+"""Each quota decision carries the quota state that it was based on."""
 
 import json
 import random
@@ -33,7 +33,7 @@
     return gate.admit(SITE, '/safe/x', KEY, tokens, now)
 
 
-def test_an_admission_tells_what_was_known() -> None:
+def test_admission_carries_the_quota_state() -> None:
     gate = _gate()
     gate.quotas.take_fleet(Fleet(4, 0.5, 0.75))
     gate.quotas.reported('shop', 200, 0.5)
@@ -45,7 +45,7 @@
     assert seen.known_s_ago == 0.25
 
 
-def test_a_refusal_tells_what_was_known() -> None:
+def test_refusal_carries_the_quota_state() -> None:
     gate = _gate()
     gate.quotas.reported('shop', 990, 0.5)
     with pytest.raises(OverQuotaError) as caught:
--- a/tests/platform/test_rollout_orders.py
+++ b/tests/platform/test_rollout_orders.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs in the store: whole, garbled, withdrawn, repeated."""
+"""Rollout orders in the store: valid, malformed, withdrawn and repeated."""
 
 import asyncio
 import base64
@@ -39,7 +39,7 @@
     assert order.revision == 7
 
 
-def test_a_withdrawn_order_is_none() -> None:
+def test_withdrawn_order_is_none() -> None:
     assert decode_order(Change('op/rollout/s', None, 7)) is None
 
 
@@ -55,13 +55,13 @@
         {'duration-s': 'long'},
     ],
 )
-def test_a_garbled_order_names_nothing(wrong: dict[str, Any]) -> None:
+def test_malformed_order_is_rejected(wrong: dict[str, Any]) -> None:
     with pytest.raises(DecodeError):
         decode_order(_change('op/rollout/s', _ORDER | wrong))
 
 
 @given(st.binary(max_size=60))
-def test_no_bytes_end_the_decoding(raw: bytes) -> None:
+def test_arbitrary_bytes_raise_only_decode_errors(raw: bytes) -> None:
     for decode in (decode_order, decode_status):
         with contextlib.suppress(DecodeError):
             decode(Change('op/rollout/s', raw, 7))
@@ -87,7 +87,7 @@
         store.close()
 
 
-async def test_a_key_is_written_only_where_it_stands_as_read() -> None:
+async def test_key_is_written_only_if_unchanged_since_the_read() -> None:
     async with _stored() as (_, client):
         first = await client.swap(Write('k', b'1', 0))
         with pytest.raises(ConditionFailedError):
@@ -101,7 +101,7 @@
         assert await client.get('none') is None
 
 
-async def test_an_unreadable_record_is_written_anew() -> None:
+async def test_unreadable_record_can_be_overwritten() -> None:
     async with _stored() as (store, client):
         store.put_raw('tallyhall/rollouts/s', b'no record')
         stored = await RolloutStore(client).read('s')
@@ -109,8 +109,8 @@
         assert stored.record_revision > 0
 
 
-async def test_a_garbled_order_changes_nothing() -> None:
-    """It is logged, and requests are served as before."""
+async def test_malformed_order_changes_nothing() -> None:
+    """The order is ignored, and other rollouts are not affected."""
     async with deployment(1) as site:
         site.store.put_raw(f'op/rollout/{MODEL}', b'{"service"')
         site.store.put(
@@ -118,13 +118,13 @@
             {'service': f'{MODEL}-unknown', 'target': 'v2', 'duration-s': 1},
         )
         status = f'status/rollout/{MODEL}-unknown'
-        # A service that nobody names is rolled back at its end.
+        # The rollout of an unknown service is rolled back at its deadline.
         await until(lambda: _state(site, status) == 'rolled_back')
         assert _state(site, f'status/rollout/{MODEL}') is None
 
 
 def _order(site: Deployment) -> None:
-    """Order a roll-out, and tell that it has long been over."""
+    """Order a rollout whose record says that its time is long over."""
     fields = {'service': MODEL, 'target': 'v2', 'duration-s': 8}
     revision = site.store.put(f'op/rollout/{MODEL}', fields)
     site.store.put(
@@ -133,7 +133,7 @@
     )
 
 
-async def test_who_saw_an_order_goes_by_no_clock_that_somebody_sets() -> None:
+async def test_running_instance_does_not_use_the_wall_clock() -> None:
     async with deployment(1) as site:
         _order(site)
         status = f'status/rollout/{MODEL}'
@@ -142,7 +142,7 @@
         assert _state(site, status) == 'running'
 
 
-async def test_who_starts_later_goes_by_the_record() -> None:
+async def test_instance_started_later_uses_the_record() -> None:
     async with deployment(0) as site:
         _order(site)
         await site.add_instance()
--- a/tests/platform/test_topology.py
+++ b/tests/platform/test_topology.py
@@ -1,4 +1,4 @@
-"""Fleets in which not every instance hears every other."""
+"""Selection of hubs and peers, and fleets in which hubs relay quota use."""
 
 import pytest
 from hypothesis import given, settings
@@ -13,7 +13,7 @@
 from tests.platform.harness import MODEL, deployment, patient
 from tests.platform.windows import most_in_window
 
-_NOBODY: frozenset[str] = frozenset()
+_NO_INSTANCES: frozenset[str] = frozenset()
 _FEW = frozenset(f'n{number}' for number in range(16))
 _MANY = frozenset(f'n{number}' for number in range(87))
 _RATE = 100.0
@@ -26,76 +26,91 @@
     return 1
 
 
-def test_a_few_instances_all_talk_to_each_other() -> None:
-    chosen = Topology('n1').choose(_FEW, frozenset(('n2',)), _NOBODY, _same)
-    assert chosen.linked == _FEW - {'n1'}
-    assert chosen.hubs == _FEW - {'n2'}
+def test_small_fleet_is_a_full_mesh() -> None:
+    selection = Topology('n1').choose(
+        _FEW, frozenset(('n2',)), _NO_INSTANCES, _same
+    )
+    assert selection.linked == _FEW - {'n1'}
+    assert selection.hubs == _FEW - {'n2'}
 
 
-def test_many_instances_agree_on_a_few_hubs() -> None:
-    chosen = [
-        Topology(name).choose(_MANY, _NOBODY, _NOBODY, _same) for name in _MANY
+def test_large_fleet_agrees_on_a_few_hubs() -> None:
+    selection = [
+        Topology(name).choose(_MANY, _NO_INSTANCES, _NO_INSTANCES, _same)
+        for name in _MANY
     ]
-    assert len({one.hubs for one in chosen}) == 1
-    assert len(chosen[0].hubs) == 4
-    assert all(len(one.linked) <= 4 for one in chosen)
+    assert len({one.hubs for one in selection}) == 1
+    assert len(selection[0].hubs) == 4
+    assert all(len(one.linked) <= 4 for one in selection)
 
 
 def test_the_largest_machines_are_hubs() -> None:
     large = frozenset(('n3', 'n7', 'n9', 'n11', 'n13'))
-    chosen = Topology('n1').choose(
+    selection = Topology('n1').choose(
         _MANY,
-        _NOBODY,
-        _NOBODY,
+        _NO_INSTANCES,
+        _NO_INSTANCES,
         lambda name: 2.15 if name in large else 0.5,
     )
-    assert chosen.hubs < large
+    assert selection.hubs < large
 
 
-def test_a_hub_answers_all_that_it_hears() -> None:
-    hub = min(Topology('n1').choose(_MANY, _NOBODY, _NOBODY, _same).hubs)
+def test_hub_keeps_streams_to_all_that_it_hears() -> None:
+    hub = min(
+        Topology('n1').choose(_MANY, _NO_INSTANCES, _NO_INSTANCES, _same).hubs
+    )
     heard = _MANY - {hub}
-    assert Topology(hub).choose(_MANY, _NOBODY, heard, _same).linked == heard
+    assert (
+        Topology(hub).choose(_MANY, _NO_INSTANCES, heard, _same).linked == heard
+    )
 
 
-def test_the_next_takes_the_place_of_a_silent_hub() -> None:
+def test_silent_hub_is_replaced() -> None:
     topology = Topology('n1')
-    hubs = topology.choose(_MANY, _NOBODY, _NOBODY, _same).hubs
+    hubs = topology.choose(_MANY, _NO_INSTANCES, _NO_INSTANCES, _same).hubs
     lost = frozenset((min(hubs),))
-    chosen = topology.choose(_MANY, lost, _NOBODY, _same)
-    assert hubs - lost < chosen.hubs
-    assert len(chosen.hubs) == 4
-    # It is still tried, so that its return is seen.
-    assert lost <= chosen.linked | {'n1'}
+    selection = topology.choose(_MANY, lost, _NO_INSTANCES, _same)
+    assert hubs - lost < selection.hubs
+    assert len(selection.hubs) == 4
+    # It is still contacted, so that its return is detected.
+    assert lost <= selection.linked | {'n1'}
 
 
-def test_those_that_stop_are_no_hubs_while_others_are_there() -> None:
+def test_stopping_instances_are_not_hubs_while_others_are_left() -> None:
     topology = Topology('n1')
-    hubs = topology.choose(_MANY, _NOBODY, _NOBODY, _same).hubs
+    hubs = topology.choose(_MANY, _NO_INSTANCES, _NO_INSTANCES, _same).hubs
     half = frozenset(sorted(_MANY)[: len(_MANY) // 2]) | hubs
-    chosen = topology.choose(_MANY, _NOBODY, _NOBODY, _same, half)
-    assert chosen.hubs <= _MANY - half
-    assert chosen.owners == chosen.hubs
-    assert len(chosen.linked) <= 4
+    selection = topology.choose(
+        _MANY, _NO_INSTANCES, _NO_INSTANCES, _same, half
+    )
+    assert selection.hubs <= _MANY - half
+    assert selection.owners == selection.hubs
+    assert len(selection.linked) <= 4
 
 
-def test_a_fleet_that_stops_as_a_whole_keeps_its_hubs() -> None:
-    """They still tell what is admitted, and own nothing."""
-    chosen = Topology('n1').choose(_MANY, _NOBODY, _NOBODY, _same, _MANY)
+def test_fleet_that_stops_as_a_whole_keeps_its_hubs() -> None:
+    """They still exchange use reports but own no services."""
+    selection = Topology('n1').choose(
+        _MANY, _NO_INSTANCES, _NO_INSTANCES, _same, _MANY
+    )
     assert (
-        chosen.hubs
-        == Topology('n2').choose(_MANY, _NOBODY, _NOBODY, _same).hubs
+        selection.hubs
+        == Topology('n2')
+        .choose(_MANY, _NO_INSTANCES, _NO_INSTANCES, _same)
+        .hubs
     )
-    assert not chosen.owners
-    assert len(chosen.linked) <= 4
+    assert not selection.owners
+    assert len(selection.linked) <= 4
 
 
-def test_in_a_mesh_those_that_stop_are_heard_and_own_nothing() -> None:
+def test_stopping_instances_in_a_mesh_are_heard_but_own_nothing() -> None:
     stops = frozenset(('n2', 'n3'))
-    chosen = Topology('n1').choose(_FEW, _NOBODY, _NOBODY, _same, stops)
-    assert chosen.hubs == _FEW
-    assert chosen.owners == _FEW - stops
-    assert chosen.linked == _FEW - {'n1'}
+    selection = Topology('n1').choose(
+        _FEW, _NO_INSTANCES, _NO_INSTANCES, _same, stops
+    )
+    assert selection.hubs == _FEW
+    assert selection.owners == _FEW - stops
+    assert selection.linked == _FEW - {'n1'}
 
 
 @settings(max_examples=60)
@@ -109,10 +124,10 @@
         max_size=200,
     ),
 )
-def test_quota_holds_where_only_a_hub_hears_all(
+def test_quota_holds_if_only_a_hub_hears_all(
     steps: list[tuple[float, int, int]],
 ) -> None:
-    """The first of four instances hears the others and tells what it knows."""
+    """The first of four instances is a hub and reports the use of all."""
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     nodes = [Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100) for _ in range(4)]
     totals: list[float] = [0, 0, 0, 0]
@@ -132,14 +147,14 @@
         for number in range(1, 4):
             fleet = FleetUse('hub', report.fleet, totals[number], now)
             nodes[number].heard('w', fleet)
-    # What is told grows old between two steps, and only shrinks.
+    # Reports become outdated between two steps, when use can only decrease.
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT * 1.1 + 100
 
 
-async def test_a_fleet_with_hubs_serves_and_knows_the_use_of_all(
+async def test_fleet_with_hubs_serves_all_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # All 18 share one loop, whose lateness must not count as their owner's.
+    # All 18 share one event loop, whose delays must not look like a slow owner.
     monkeypatch.setattr(shared, '_ANSWER_S', 5)
     async with deployment(18) as made:
         engine = await made.add_engine('model-0', event_s=0.01)
@@ -155,16 +170,16 @@
         assert engine.most_running <= 4
 
 
-async def test_instances_that_decide_alone_share_the_places(
+async def test_instances_without_an_owner_share_the_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Where no owner answers in time, each fills its part of the places.
+    """If no owner answers in time, each instance fills its share of the slots.
 
-    An engine with 4 places got 15 requests at once beside load. The owner
-    and the next candidates lived and answered later than 60 ms, so all 18
-    instances decided alone, and each filled whatever places it did not use
-    itself. Proof: the loop of a deployment held for 5 ms at a time let 14 run
-    at once in 3 of 3 runs, for 2 ms 5 to 7, not held 4.
+    On a loaded machine, an engine with 4 slots got 15 concurrent requests. The
+    owner and its successors took longer than 60 ms to answer, so all 18
+    instances decided on their own, and each of them used all slots that it did
+    not occupy itself. With the event loop blocked for 5 ms at a time, 14
+    requests ran concurrently in 3 of 3 runs; for 2 ms, 5 to 7; unblocked, 4.
     """
     monkeypatch.setattr(shared, '_ANSWER_S', 0)
     async with deployment(18) as made:
@@ -173,5 +188,6 @@
         await made.change(patient(2))
         statuses = await made.ask_all(range(18))
         assert set(statuses) == {200}
-        # The three candidates own the service each, others draw for 4 places.
+        # Each of the three candidates acts as owner; the others draw for 4
+        # slots.
         assert engine.most_running <= 9
--- a/tests/platform/test_use_news.py
+++ b/tests/platform/test_use_news.py
@@ -1,4 +1,4 @@
-"""Nobody is refused for a use of others that is old news."""
+"""No request is refused because of outdated use reports."""
 
 import asyncio
 import collections
@@ -22,11 +22,11 @@
 
 
 def _ignore(*_: object) -> None:
-    """Take anything."""
+    """Accept and ignore any arguments."""
 
 
 class _Asker:
-    """An instance that asks hubs, which answer after a while or never."""
+    """An instance that queries hubs, which answer after a delay or never."""
 
     def __init__(self, instances: int, answer_s: float) -> None:
         self.asked = collections.Counter[str]()
@@ -46,7 +46,7 @@
         self.knows(self._loop.time() - 1)
 
     def knows(self, known_at: float) -> None:
-        """Take until when others know what was admitted."""
+        """Set the time up to which others know the admissions."""
         fleet = Fleet(self._instances, 1, known_at, known_at)
         self.quotas.take_fleet(fleet)
 
@@ -61,32 +61,32 @@
             self.knows(self._asked_at)
 
 
-async def test_requests_wait_together_for_one_answer_of_each_hub() -> None:
+async def test_concurrent_requests_share_one_query_per_hub() -> None:
     asker = _Asker(_MANY, 0.03)
     began_at = asyncio.get_running_loop().time()
     answers = [asker.news.ask() for _ in range(5)]
     assert await asyncio.gather(*answers) == [True] * 5
     assert asyncio.get_running_loop().time() - began_at < 0.1
     assert asker.asked == dict.fromkeys(_HUBS, 1)
-    # What is known now is as new as another answer would be.
+    # The known use is now as recent as another answer would be.
     assert not await asker.news.ask()
 
 
-async def test_silent_hubs_hold_a_request_for_a_tenth_of_a_second() -> None:
+async def test_silent_hubs_delay_a_request_for_a_tenth_of_a_second() -> None:
     asker = _Asker(_MANY, 60)
     began_at = asyncio.get_running_loop().time()
     assert await asker.news.ask()
     assert 0.09 < asyncio.get_running_loop().time() - began_at < 0.3
 
 
-async def test_a_mesh_knows_what_it_knows() -> None:
+async def test_full_mesh_sends_no_queries() -> None:
     asker = _Asker(7, 0)
     assert not await asker.news.ask()
     assert not asker.asked
 
 
-async def test_a_request_is_decided_again_by_what_was_heard() -> None:
-    """And refused if that does not help, or if nothing newer is known."""
+async def test_request_is_decided_again_after_a_refresh() -> None:
+    """It is refused if it still does not fit, or if there is no newer data."""
     async with deployment() as made:
         await made.add_engine('plain-0', PLAIN)
         await made.ready()
--- a/tests/unit/test_rollouts.py
+++ b/tests/unit/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs: which versions take requests, how much, and what is judged."""
+"""Rollouts: versions in use, canary analysis and the exposure limit."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -55,8 +55,10 @@
     return RolloutStatus('v2', state, revision)
 
 
-def _taking(versions: ServiceVersions, now: float = 1) -> dict[str, set[str]]:
-    """Return the versions in use, on trial, and left out."""
+def _versions_by_use(
+    versions: ServiceVersions, now: float = 1
+) -> dict[str, set[str]]:
+    """Return the versions in use, the canaries and the excluded ones."""
     taking: dict[str, set[str]] = {'used': set(), 'canary': set(), 'out': set()}
     for one in versions.marked(_both(), now):
         kind = 'canary' if one.canary else 'used'
@@ -73,16 +75,20 @@
 # -- versions
 
 
-def test_a_version_that_no_order_names_gets_nothing() -> None:
-    assert _taking(_known()) == {'used': {'v1'}, 'canary': set(), 'out': {'v2'}}
+def test_version_without_an_order_gets_no_requests() -> None:
+    assert _versions_by_use(_known()) == {
+        'used': {'v1'},
+        'canary': set(),
+        'out': {'v2'},
+    }
 
 
-def test_a_target_is_on_trial_while_its_order_runs() -> None:
+def test_target_is_a_canary_while_its_order_is_in_progress() -> None:
     versions = _known()
     versions.order = _ORDER
     for status in (None, _status(RolloutState.running)):
         versions.status = status
-        taking = _taking(versions)
+        taking = _versions_by_use(versions)
         assert taking == {'used': {'v1'}, 'canary': {'v2'}, 'out': set()}
 
 
@@ -90,23 +96,25 @@
     ('state', 'used'),
     [(RolloutState.completed, 'v2'), (RolloutState.rolled_back, 'v1')],
 )
-def test_a_last_word_leaves_one_version(state: RolloutState, used: str) -> None:
+def test_final_status_leaves_one_version(
+    state: RolloutState, used: str
+) -> None:
     for versions in (_known(), ServiceVersions()):
         versions.order = _ORDER
         versions.status = _status(state)
-        taking = _taking(versions)
+        taking = _versions_by_use(versions)
         assert taking['used'] == {used}
         assert not taking['canary']
 
 
-def test_a_status_from_before_the_order_says_nothing() -> None:
+def test_status_older_than_the_order_is_ignored() -> None:
     versions = _known()
     versions.order = _ORDER
     versions.status = _status(RolloutState.rolled_back, revision=9)
-    assert _taking(versions)['canary'] == {'v2'}
+    assert _versions_by_use(versions)['canary'] == {'v2'}
 
 
-def test_another_version_is_used_once_none_of_the_old_is_left() -> None:
+def test_another_version_is_used_once_the_accepted_one_is_gone() -> None:
     versions = _known()
     new = _both()[3:]
     assert all(one.leaving for one in versions.marked(new, 1))
@@ -115,9 +123,7 @@
     assert not any(one.leaving for one in versions.marked(new, 6))
 
 
-def test_a_version_that_was_rolled_back_is_never_taken_for_lack_of_others() -> (
-    None
-):
+def test_rolled_back_version_is_never_used_for_lack_of_others() -> None:
     versions = _known()
     versions.order = _ORDER
     versions.status = _status(RolloutState.rolled_back)
@@ -128,13 +134,13 @@
 # -- evidence
 
 
-def _judged(
+def _analyzed(
     canary: Callable[[random.Random, float, str], RunReport],
     others: Callable[[random.Random], RunReport],
     seed: int,
     seconds: float = 15,
 ) -> CanaryAnalysis:
-    """Let 80 answers a second come, 5 of them from the canaries."""
+    """Record 80 responses per second, 5 of them from canaries."""
     rng = random.Random(seed)
     analysis = CanaryAnalysis()
     for number in range(int(seconds * _PER_S)):
@@ -161,53 +167,62 @@
     return _FAILED if rng.random() < 0.4 else _GOOD
 
 
-def _as_all(rng: random.Random, now: float, route: str) -> RunReport:
+def _failing_as_others(rng: random.Random, now: float, route: str) -> RunReport:
     return _failing(rng)
 
 
-def _fails(rng: random.Random, now: float, route: str) -> RunReport:
+def _failing_often(rng: random.Random, now: float, route: str) -> RunReport:
     return _FAILED if rng.random() < 0.3 else _GOOD
 
 
-def _late(rng: random.Random, now: float, route: str) -> RunReport:
-    return _fails(rng, now, route) if now > 6 else _GOOD
+def _failing_late(rng: random.Random, now: float, route: str) -> RunReport:
+    return _failing_often(rng, now, route) if now > 6 else _GOOD
 
 
-def _one_route(rng: random.Random, now: float, route: str) -> RunReport:
-    return _fails(rng, now, route) if route == 'a' else _GOOD
+def _failing_on_one_route(
+    rng: random.Random, now: float, route: str
+) -> RunReport:
+    return _failing_often(rng, now, route) if route == 'a' else _GOOD
 
 
-def _some_slow(rng: random.Random, now: float, route: str) -> RunReport:
+def _sometimes_slow(rng: random.Random, now: float, route: str) -> RunReport:
     return _SLOW if rng.random() < 0.3 else _GOOD
 
 
-def _all_slow(rng: random.Random, now: float, route: str) -> RunReport:
+def _always_slow(rng: random.Random, now: float, route: str) -> RunReport:
     return _SLOW
 
 
 @pytest.mark.parametrize(
-    'bad', [_fails, _late, _one_route, _some_slow, _all_slow]
+    'bad',
+    [
+        _failing_often,
+        _failing_late,
+        _failing_on_one_route,
+        _sometimes_slow,
+        _always_slow,
+    ],
 )
-def test_a_bad_version_is_found(
+def test_bad_version_is_detected(
     bad: Callable[[random.Random, float, str], RunReport],
 ) -> None:
-    found = [_judged(bad, _sound, seed).rejection_reason for seed in _SEEDS]
-    # A third of the answers of one route in three are seen for 15 s.
-    least = 18 if bad is _one_route else 20
+    found = [_analyzed(bad, _sound, seed).rejection_reason for seed in _SEEDS]
+    # Only a third of the responses on one of three routes fail, within 15 s.
+    least = 18 if bad is _failing_on_one_route else 20
     assert sum(cause is not None for cause in found) >= least
 
 
-def test_a_good_version_is_not_condemned() -> None:
-    found = [_judged(_good, _sound, seed).rejection_reason for seed in _SEEDS]
+def test_good_version_is_not_rejected() -> None:
+    found = [_analyzed(_good, _sound, seed).rejection_reason for seed in _SEEDS]
     assert found == [None] * len(_SEEDS)
 
 
-def test_a_trouble_of_all_condemns_nobody() -> None:
-    found = [_judged(_as_all, _failing, seed) for seed in _SEEDS]
+def test_common_fault_does_not_reject_the_canary() -> None:
+    found = [_analyzed(_failing_as_others, _failing, seed) for seed in _SEEDS]
     assert sum(one.rejection_reason is not None for one in found) <= 1
 
 
-def test_the_end_of_one_upstream_is_one_bad_answer() -> None:
+def test_crash_of_an_upstream_counts_as_one_bad_answer() -> None:
     analysis = CanaryAnalysis()
     for number in range(9):
         analysis.note(_job(str(number)), 'u', _CUT, 1, canary=True)
@@ -219,7 +234,7 @@
 
 
 class _Fleet:
-    """Instances that lead one after another or at once, and the store."""
+    """Instances that lead successively or concurrently, and the store."""
 
     def __init__(self) -> None:
         self.now: float = 0
@@ -229,22 +244,24 @@
         self.leaders: list[Rollout] = []
 
     def lead(self) -> None:
-        """Let one more instance lead, from what is written."""
+        """Let another instance lead from the stored record."""
         rollout = Rollout(_ORDER, _BOUNDS, self.record, 0)
         self.leaders.append(rollout)
         self.write(rollout)
 
     def write(self, rollout: Rollout) -> None:
-        """Let one write that nobody has overtaken."""
+        """Write the record of the current leader."""
         if rollout.exposed > self.record.exposed:
-            raise AssertionError('more was used than was written')
+            raise AssertionError(
+                'more requests were placed than the record allows'
+            )
         self.record = rollout.next_record('me', self.now, 1)
         rollout.record_written(self.record, self.now)
-        # Whoever led before finds its record overwritten.
+        # Previous leaders find their record overwritten.
         self.leaders = [rollout]
 
     def run(self, seconds: float, rng: random.Random) -> None:
-        """Let requests come; all that lead and hold a block place some."""
+        """Send requests; every leader with a valid block places some."""
         for number in range(int(seconds * _PER_S)):
             self.now += 1 / _PER_S
             leader = rng.choice(self.leaders)
@@ -265,7 +282,7 @@
     ),
     st.integers(0, 1000),
 )
-def test_the_target_gets_no_more_than_its_share_whoever_leads(
+def test_target_stays_within_its_share_across_leaders(
     steps: list[tuple[str, float]],
     seed: int,
 ) -> None:
@@ -274,7 +291,7 @@
     rng = random.Random(seed)
     for step, seconds in steps:
         if step == 'lead':
-            # One that is killed leaves its block unused.
+            # A killed leader leaves its block unused.
             fleet.lead()
         fleet.run(seconds, rng)
         assert fleet.exposed <= (
@@ -283,8 +300,8 @@
         assert fleet.exposed <= fleet.record.exposed
 
 
-def test_all_traffic_of_the_end_fits_into_the_share() -> None:
-    """From the completion to the order's end the target gets everything."""
+def test_traffic_after_the_completion_fits_into_the_share() -> None:
+    """From the completion to the deadline the target gets all requests."""
     fleet = _Fleet()
     fleet.lead()
     rng = random.Random(1)
@@ -296,7 +313,7 @@
     assert exposed <= _BOUNDS.share * reached + _BOUNDS.allowance
 
 
-def test_a_block_holds_only_for_a_while() -> None:
+def test_block_expires() -> None:
     rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
     assert not rollout.may_expose(_job('a'), 0)
     rollout.record_written(rollout.next_record('me', 0, 1), 0)
@@ -304,9 +321,7 @@
     assert not rollout.may_expose(_job('a'), BLOCK_VALID_S)
 
 
-def test_what_was_condemned_gets_nothing_more_also_from_another_leader() -> (
-    None
-):
+def test_rejected_version_gets_no_requests_from_the_next_leader() -> None:
     rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
     for number in range(30):
         rollout.ended(_job(str(number)), 'u', _FAILED, number / 10, canary=True)
@@ -330,7 +345,7 @@
         ((12, 12), 29, None),
     ],
 )
-def test_it_is_completed_only_where_it_can_go_on(
+def test_rollout_completes_only_with_enough_slots_and_answers(
     places: tuple[int, int],
     answers: int,
     state: RolloutState | None,
@@ -364,7 +379,7 @@
     return pool
 
 
-def test_only_who_leads_places_on_the_target() -> None:
+def test_only_the_leader_places_jobs_on_the_target() -> None:
     pool = _pool()
     jobs = [_job(str(number)) for number in range(6)]
     assert set(_granted(pool, jobs, 0)) == {'v1'}
@@ -374,7 +389,7 @@
     assert 'v2' in _granted(pool, jobs, 0)
 
 
-def test_what_has_failed_once_goes_to_the_version_in_use() -> None:
+def test_retried_job_goes_to_the_version_in_use() -> None:
     pool = _pool()
     pool.rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
     pool.rollout.record_written(pool.rollout.next_record('me', 0, 1), 0)
