--- a/packages/dispatch/src/tallyhall_dispatch/evidence.py
+++ b/packages/dispatch/src/tallyhall_dispatch/evidence.py
@@ -128,7 +128,7 @@
                     self.rejection_reason or f'slow responses on {route}'
                 )
 
-    def note(
+    def record(
         self,
         job: Job,
         upstream: str,
@@ -150,7 +150,7 @@
             if canary:
                 self._score(route, now, bad=bad)
             else:
-                self._baselines[route].note(now, bad=bad)
+                self._baselines[route].record(now, bad=bad)
 
     # -- internal
 
@@ -217,7 +217,7 @@
         self._answers = SlidingSum(_BASELINE_WINDOW_S)
         self._bad = SlidingSum(_BASELINE_WINDOW_S)
 
-    def note(self, now: float, *, bad: bool) -> None:
+    def record(self, now: float, *, bad: bool) -> None:
         self._answers.add(1, now)
         if bad:
             self._bad.add(1, now)
--- a/packages/dispatch/src/tallyhall_dispatch/quota.py
+++ b/packages/dispatch/src/tallyhall_dispatch/quota.py
@@ -338,7 +338,7 @@
     def _used(self, use: Use, now: float) -> float:
         own = use.own.total(now)
         reported = use.others(now, self._use_before_start(use, now))
-        return own + max(reported, use.others_heard(own, now))
+        return own + max(reported, use.others_from_hubs(own, now))
 
     def _use_before_start(self, use: Use, now: float) -> float:
         """Return the use before this start that counts on this instance.
--- a/packages/dispatch/src/tallyhall_dispatch/quota_use.py
+++ b/packages/dispatch/src/tallyhall_dispatch/quota_use.py
@@ -173,7 +173,7 @@
             return self._reported.parts(now)
         return self._adopted.parts(now)
 
-    def others_heard(self, own: float, now: float) -> float:
+    def others_from_hubs(self, own: float, now: float) -> float:
         """Return the use of others according to hubs.
 
         The hubs' counts include admissions of this instance, which are
--- a/packages/dispatch/src/tallyhall_dispatch/rollout.py
+++ b/packages/dispatch/src/tallyhall_dispatch/rollout.py
@@ -223,7 +223,7 @@
         canary: bool,
     ) -> None:
         """Record how a job ended."""
-        self.analysis.note(job, upstream, report, now, canary=canary)
+        self.analysis.record(job, upstream, report, now, canary=canary)
 
     def verdict(
         self, now: float, old_slots: int, new_slots: int
--- a/tests/unit/test_rollouts.py
+++ b/tests/unit/test_rollouts.py
@@ -150,7 +150,7 @@
         report = canary(rng, now, route) if is_canary else others(rng)
         upstream = f'{is_canary}-{rng.randrange(6)}'
         job = _job(str(number), route)
-        analysis.note(job, upstream, report, now, canary=is_canary)
+        analysis.record(job, upstream, report, now, canary=is_canary)
         analysis.check_speed()
     return analysis
 
@@ -225,7 +225,7 @@
 def test_crash_of_an_upstream_counts_as_one_bad_answer() -> None:
     analysis = CanaryAnalysis()
     for number in range(9):
-        analysis.note(_job(str(number)), 'u', _CUT, 1, canary=True)
+        analysis.record(_job(str(number)), 'u', _CUT, 1, canary=True)
     assert analysis.bad == 1
     assert analysis.rejection_reason is None
 
