--- a/packages/platform/src/tallyhall_platform/__init__.py
+++ b/packages/platform/src/tallyhall_platform/__init__.py
@@ -1,5 +1,5 @@
-"""Adapter to the users' platform.
+"""Adapter to the platform that the product runs on.
 
-Nothing outside this package knows the platform's names: each is decoded
-here, once, into a typed field of the product.
+The platform's headers, setting names and stored formats are known to this
+package alone, which decodes them once into typed fields.
 """
--- a/packages/platform/src/tallyhall_platform/calls.py
+++ b/packages/platform/src/tallyhall_platform/calls.py
@@ -1,7 +1,7 @@
-"""How often the store was called, by kind, cause and outcome.
+"""Counts calls to the store by kind, cause and outcome.
 
-All instances together may make so many calls a second, and each is paid for.
-What makes them shows only in numbers of the whole fleet.
+The rate of calls of the whole fleet is limited, and each call is billed, so
+their causes are measured across the fleet.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @enum.unique
 class CallKind(enum.Enum):
-    """What was asked of the store."""
+    """The operation that was called."""
 
     scan = 'scan'
     get = 'get'
@@ -28,12 +28,13 @@
 
 @enum.unique
 class CallCause(enum.Enum):
-    """Why it was asked.
+    """Why the call was made.
 
-    start: to get a first state or entry. steady: to keep up. retry: the call
-    before failed. untold: no other instance told what changed. use: to keep
-    the use of quotas over a restart of all. ends: to keep what ends upstreams
-    and to try it. rollout: to lead a roll-out.
+    start: the first read or registration. steady: following changes and
+    renewing the lease. retry: the call before failed. untold: the relays did
+    not send changes in time. use: saving the use of quotas for a restart of
+    the whole fleet. ends: recording upstreams that ended, and claiming
+    trials. rollout: leading a roll-out.
     """
 
     start = 'start'
@@ -47,7 +48,7 @@
 
 @enum.unique
 class CallOutcome(enum.Enum):
-    """What came of it; a watch is also answered without a change."""
+    """The result of a call; only a watch can be `changed`."""
 
     answered = 'answered'
     changed = 'changed'
@@ -56,8 +57,8 @@
     lost = 'lost'
 
 
-class Call(msgspec.Struct, frozen=True):
-    """What tells calls apart."""
+class StoreCall(msgspec.Struct, frozen=True):
+    """The labels under which a call is counted."""
 
     kind: CallKind
     cause: CallCause
@@ -68,15 +69,15 @@
     """The calls of one instance since its start."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._counts: collections.Counter[Call] = collections.Counter()
+        """Create a counter without calls."""
+        self._counts: collections.Counter[StoreCall] = collections.Counter()
 
-    def note(self, call: Call) -> None:
+    def note(self, call: StoreCall) -> None:
         """Count one call."""
         self._counts[call] += 1
 
     def by_labels(self) -> Mapping[tuple[str, str, str], int]:
-        """Return how many there were, by kind, cause and outcome."""
+        """Return the number of calls by kind, cause and outcome."""
         return {
             (call.kind.value, call.cause.value, call.outcome.value): number
             for call, number in self._counts.items()
--- a/packages/platform/src/tallyhall_platform/decode.py
+++ b/packages/platform/src/tallyhall_platform/decode.py
@@ -1,7 +1,7 @@
-"""The platform's values, decoded once into the product's types.
+"""Decodes the platform's stored values into the product's types.
 
-Each model here has the platform's names; a comment stands where one of them
-says little. Numbers in milliseconds become seconds.
+The models use the platform's field names, with a comment where a name is not
+clear. Milliseconds are converted to seconds.
 """
 
 from __future__ import annotations
@@ -22,75 +22,81 @@
     Workspace,
 )
 
-from .addresses import listening
+from .addresses import parse_address
 from .errors import DecodeError
-from .parse import Count, Millis, Name, Part, parsed
+from .parse import (
+    KebabStruct,
+    Milliseconds,
+    NonEmptyStr,
+    NonNegativeInt,
+    parse_json,
+)
 
 _MILLI = 1000
-# Used where a route states no time limit, no objective or no pause.
-_TIMEOUT_MS = 30_000
-_OBJECTIVE_MS = 1000
-# More places than any engine has; a number above it is no count of places.
-_MOST_SLOTS = 100_000
+# Defaults for a route without a timeout or an objective.
+_DEFAULT_TIMEOUT_MS = 30_000
+_DEFAULT_OBJECTIVE_MS = 1000
+# More slots than any engine has; a larger number is invalid.
+_MAX_SLOTS = 100_000
 _Kept = TypeVar('_Kept')
 
 
-class _Split(Part, frozen=True):
+class _Split(KebabStruct, frozen=True):
     service: str
-    weight: Count = 1
+    weight: NonNegativeInt = 1
 
 
-class _Route(Part, frozen=True):
+class _Route(KebabStruct, frozen=True):
     name: str
     host: str
     prefix: Annotated[str, msgspec.Meta(pattern='^/')]
     kind: Literal['safe', 'non_idempotent', 'streaming']
-    timeout_ms: Millis = _TIMEOUT_MS
-    # The time to the first byte that earns the full benefit.
-    slo_ms: Millis = _OBJECTIVE_MS
+    timeout_ms: Milliseconds = _DEFAULT_TIMEOUT_MS
+    # Objective for the time to the first byte.
+    slo_ms: Milliseconds = _DEFAULT_OBJECTIVE_MS
     priority: int = 0
     service: str | None = None
     split: tuple[_Split, ...] = ()
     attempts: Annotated[int, msgspec.Meta(ge=1)] = 1
     public: bool = False
-    # Says that the route's requests carry prompt parts, not that they must
-    # stay with one engine.
+    # Despite its name, says only that requests of the route carry prompt
+    # parts, not that they must stay with one engine.
     sticky: bool = False
     resumable: bool = False
-    # The longest pause between two events of an answer that is on time.
-    gap_target_ms: Millis = 0
+    # Objective for the longest pause between two events of an answer.
+    gap_target_ms: Milliseconds = 0
 
 
-class _Engine(Part, frozen=True):
-    # How many tokens one event holds.
+class _Engine(KebabStruct, frozen=True):
+    # Tokens in one event.
     stride: int = 1
 
 
-class _Service(Part, frozen=True):
+class _Service(KebabStruct, frozen=True):
     name: str
     max_conns: int = 0
     engine: _Engine | None = None
 
 
-class _Limits(Part, frozen=True):
+class _Limits(KebabStruct, frozen=True):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
-    header_timeout_ms: Millis = 3000
-    idle_timeout_ms: Millis = 15_000
+    header_timeout_ms: Milliseconds = 3000
+    idle_timeout_ms: Milliseconds = 15_000
 
 
-class _Tenant(Part, frozen=True):
+class _Tenant(KebabStruct, frozen=True):
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
     unit: str = 'requests'
     plain_tokens: int = 1
-    # Both in `unit`; left out or 0 means that nothing is limited.
+    # Both in `unit`; 0 means no limit.
     rate_per_s: float = 0
     burst: float = 0
 
 
-class _Config(Part, frozen=True):
+class _Config(KebabStruct, frozen=True):
     version: int
     routes: tuple[_Route, ...]
     services: tuple[_Service, ...]
@@ -98,24 +104,25 @@
     tenants: tuple[_Tenant, ...] | None = None
 
 
-class _Server(Part, frozen=True):
-    """An upstream's entry; one of another writer lacks some of it."""
+class _Server(KebabStruct, frozen=True):
+    """An upstream's entry; one of another program may lack fields."""
 
-    service: Name
+    service: NonEmptyStr
     address: str
     zone: str
     version: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal['ready', 'draining']
-    seq: Count
-    cold_left_ms: Millis
-    # Where the platform states no start, an id is new at each start.
-    born: Count = 0
+    seq: NonNegativeInt
+    cold_left_ms: Milliseconds
+    # Start time in milliseconds. If it is 0, the upstream gets a new id at
+    # each start.
+    born: NonNegativeInt = 0
 
 
 def decode_state(raw: bytes) -> DesiredState:
-    """Return the desired state; raise DecodeError."""
-    config = parsed(raw, _Config)
+    """Decode the desired state; raise DecodeError."""
+    config = parse_json(raw, _Config)
     workspaces = [_workspace(tenant) for tenant in config.tenants or ()]
     by_name = {workspace.name: workspace for workspace in workspaces}
     keys = {
@@ -126,31 +133,33 @@
     return DesiredState(
         version=config.version,
         routes=tuple(_route(route) for route in config.routes),
-        services=_frozen({svc.name: _service(svc) for svc in config.services}),
+        services=_read_only(
+            {svc.name: _service(svc) for svc in config.services},
+        ),
         limits=Limits(
             config.limits.max_header_bytes,
             config.limits.max_body_bytes,
             config.limits.header_timeout_ms / _MILLI,
             config.limits.idle_timeout_ms / _MILLI,
         ),
-        workspaces=_frozen(by_name),
-        keys=_frozen(keys),
+        workspaces=_read_only(by_name),
+        keys=_read_only(keys),
         checks_keys=config.tenants is not None,
     )
 
 
 class UpstreamEntry(msgspec.Struct, frozen=True):
-    """An upstream, and which of its start's reports tells of it."""
+    """An upstream, and the sequence number of its entry in this run."""
 
     upstream: Upstream
     serial: int
 
 
 def decode_upstream(name: str, raw: bytes) -> UpstreamEntry:
-    """Return an upstream from its entry in the store; raise DecodeError."""
-    entry = parsed(raw, _Server)
+    """Decode an upstream's entry; raise DecodeError."""
+    entry = parse_json(raw, _Server)
     try:
-        address = listening(entry.address)
+        address = parse_address(entry.address)
     except ValueError as exc:
         raise DecodeError(f'address: {exc}') from exc
     upstream = Upstream(
@@ -167,7 +176,7 @@
     return UpstreamEntry(upstream, entry.seq)
 
 
-def _frozen(table: dict[str, _Kept]) -> Mapping[str, _Kept]:
+def _read_only(table: dict[str, _Kept]) -> Mapping[str, _Kept]:
     return types.MappingProxyType(table)
 
 
--- a/packages/platform/src/tallyhall_platform/dialect.py
+++ b/packages/platform/src/tallyhall_platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP headers: read from callers, written to upstreams."""
+"""Decodes the platform's HTTP headers and writes those sent to upstreams."""
 
 from __future__ import annotations
 
@@ -25,29 +25,29 @@
 
 _REQUEST_ID = b'x-tallyhall-request-id'
 _DEADLINE = b'x-tallyhall-deadline-ms'
-# Prompt tokens and the most output tokens, separated by a comma.
+# Prompt tokens and the maximum of output tokens, separated by a comma.
 _TOKENS = b'x-tallyhall-token-counts'
 _LAST_EVENT = b'last-event-id'
 _AUTHORIZATION = b'authorization'
 _EXPECTED = b'x-tallyhall-expect-instance'
 _EXPECTED_VERSION = b'x-tallyhall-expect-version'
-# Memory and places at an engine, kept back or copied for one request.
+# Engine memory and slots that are reserved or copied for one request.
 _HOLD = b'x-tallyhall-hold'
 _PIN = b'x-tallyhall-pin-ms'
 _BACKUP = b'x-tallyhall-kv-backup'
 _KV_FROM = b'kv-from'
 _KV_FETCH = b'kv-fetch'
 _WORKSPACE = b'x-tallyhall-tenant'
-# Proof that the answer is the upstream's own.
+# Proves that the upstream itself produced the answer.
 _SIGNATURE = b'x-tallyhall-response-signature'
 _NOT_EXECUTED = b'x-tallyhall-not-executed'
 _LEAVING = b'server-leaving'
 _LIMIT = b'server-limit'
 _RETRY_AFTER = b'retry-after'
-# Headers with these beginnings say something of the upstream or the request.
-_SAYING = (b'server-', b'x-tallyhall-')
-# Of these, the ones that are read, and those that forbid and ask nothing.
-_KNOWN_TO_SAY = frozenset(
+# Prefixes of headers that describe the upstream or the request.
+_NAMESPACES = (b'server-', b'x-tallyhall-')
+# Headers with such a prefix that are decoded here or need no action.
+_KNOWN_HEADERS = frozenset(
     (
         _REQUEST_ID,
         _SIGNATURE,
@@ -60,14 +60,15 @@
 )
 _SCHEME = 'bearer '
 _MILLI = 1000
-_CENTI = 100
-_MISDIRECTED = 421
-_TURNED_AWAY = 503
-# What an upstream may ask for at most, in seconds; it can ask again.
-_LONGEST_REST_S = 600.0
-# Headers that this system sets itself, whatever the caller sent: with them a
-# caller could name an upstream, its workspace or memory of other requests.
-SET_HERE = (
+_HUNDREDTHS = 100
+_MISDIRECTED_REQUEST = 421
+_SERVICE_UNAVAILABLE = 503
+# Longest Retry-After of an upstream that is honoured, in seconds; it can send
+# another one.
+_MAX_RETRY_AFTER_S = 600.0
+# Headers that are never forwarded from a caller: they could select an
+# upstream, a workspace or engine memory that belongs to other requests.
+OVERRIDDEN_HEADERS = (
     _DEADLINE,
     _EXPECTED,
     _EXPECTED_VERSION,
@@ -82,12 +83,12 @@
 
 
 class PlatformDialect:
-    """The platform's headers as the product's types."""
+    """Translates between the platform's headers and the product's types."""
 
     id_header = _REQUEST_ID
 
     def call(self, head: RequestHead) -> CallInfo:
-        """Return what a request says; raise BadCallError."""
+        """Decode the headers of a request; raise BadCallError."""
         headers = head.headers
         if count(headers, b'host') != 1:
             raise BadCallError('exactly one Host header is needed')
@@ -115,10 +116,10 @@
         body_size: int,
         info: SendInfo,
     ) -> Headers:
-        """Return the headers of a request for one upstream."""
-        without: tuple[bytes, ...] = SET_HERE
+        """Return the headers of a request to an upstream."""
+        without: tuple[bytes, ...] = OVERRIDDEN_HEADERS
         if info.last_event is not None:
-            without = (*SET_HERE, _LAST_EVENT)
+            without = (*OVERRIDDEN_HEADERS, _LAST_EVENT)
         headers = list(forwarded(head.headers, without))
         left_ms = max(1, int(info.left_s * _MILLI))
         headers.append((b'X-Tallyhall-Deadline-Ms', b'%d' % left_ms))
@@ -134,9 +135,9 @@
         return tuple(headers)
 
     def answer(self, head: ResponseHead) -> AnswerInfo:
-        """Return what the head of an answer says."""
+        """Decode the status and headers of an answer."""
         media = find(head.headers, b'content-type') or b''
-        misplaced = head.status == _MISDIRECTED
+        misplaced = head.status == _MISDIRECTED_REQUEST
         limit_per_s = _limit_per_s(head.headers)
         return AnswerInfo(
             proven=find(head.headers, _SIGNATURE) is not None,
@@ -145,20 +146,24 @@
             ),
             misplaced=misplaced,
             streams=media.lower().startswith(b'text/event-stream'),
-            # Another one than was asked for speaks for itself only.
+            # A misdirected request was answered by another upstream, whose
+            # headers describe that one alone.
             leaving=not misplaced and _is_set(head.headers, _LEAVING),
-            rest_s=_rest_s(head),
+            rest_s=_retry_after_s(head),
             limit_per_s=None if misplaced else limit_per_s,
-            unread=_unread(head.headers, has_limit=limit_per_s is not None),
+            unread=_unknown_headers(
+                head.headers,
+                has_limit=limit_per_s is not None,
+            ),
         )
 
     def refusal(self, refusal: Refusal) -> OwnAnswer:
-        """Return a refusal as the platform's callers read it."""
+        """Encode a refusal in the platform's form."""
         entry = CATALOGUE[refusal.reason]
         headers = [(b'Content-Type', b'application/json')]
         if refusal.retry_after is not None:
-            # Rounded up: who comes a moment early is refused again.
-            wait_s = math.ceil(refusal.retry_after * _CENTI) / _CENTI
+            # Rounded up, as a caller that retries too early is refused again.
+            wait_s = math.ceil(refusal.retry_after * _HUNDREDTHS) / _HUNDREDTHS
             wait = f'{wait_s:.2f}'.encode()
             headers.append((b'Retry-After', wait))
         body = {
@@ -187,16 +192,16 @@
     return find(headers, name) == b'1'
 
 
-def _rest_s(head: ResponseHead) -> float:
+def _retry_after_s(head: ResponseHead) -> float:
     text = find(head.headers, _RETRY_AFTER)
-    if head.status != _TURNED_AWAY or text is None:
+    if head.status != _SERVICE_UNAVAILABLE or text is None:
         return 0
     try:
         rest_s = float(text)
     except ValueError:
-        # A date, or nothing that is known.
+        # An HTTP date or an invalid value.
         return 0
-    return min(_LONGEST_REST_S, max(0, rest_s))
+    return min(_MAX_RETRY_AFTER_S, max(0, rest_s))
 
 
 def _limit_per_s(headers: Headers) -> float | None:
@@ -210,14 +215,14 @@
     return limit if 0 <= limit < math.inf else None
 
 
-def _unread(headers: Headers, *, has_limit: bool) -> tuple[str, ...]:
-    """Return names that are not known, and a limit that is no number."""
-    known = _KNOWN_TO_SAY | {_LIMIT} if has_limit else _KNOWN_TO_SAY
+def _unknown_headers(headers: Headers, *, has_limit: bool) -> tuple[str, ...]:
+    """Return unknown header names, and the limit's if it is no number."""
+    known = _KNOWN_HEADERS | {_LIMIT} if has_limit else _KNOWN_HEADERS
     names = (name.lower() for name, _ in headers)
     return tuple(
         name.decode('latin-1')
         for name in names
-        if name.startswith(_SAYING) and name not in known
+        if name.startswith(_NAMESPACES) and name not in known
     )
 
 
--- a/packages/platform/src/tallyhall_platform/ends.py
+++ b/packages/platform/src/tallyhall_platform/ends.py
@@ -1,9 +1,10 @@
-"""Ends of upstreams, kept in the store under the requests that ran there.
+"""Records in the store which upstreams ended and which requests they ran.
 
-Each write has a key of its own, so that one that is executed late overwrites
-nothing, and goes with its lease once it is forgotten. A trial of a suspect is
-claimed with a key that must not exist: one runs in the whole fleet, however
-its parts are cut off from each other.
+Each write uses a new key, so that a write that is executed late overwrites
+nothing, and expires with its lease. A trial, one more attempt at a request
+suspected of ending upstreams, is claimed by creating a key that must not
+exist: only one trial runs in the whole fleet, even during a network
+partition.
 """
 
 from __future__ import annotations
@@ -18,40 +19,40 @@
 
 from .calls import CallCause
 from .errors import ConditionFailedError, LeaseEndedError, StoreError
-from .parse import parsed
+from .parse import parse_json
 from .store import StoreClient
 
 ENDS_PREFIX = 'tallyhall/ends/'
 _TRIALS_PREFIX = 'tallyhall/trials/'
-# A lease is written under for this part of its life, so that what it keeps is
-# kept for most of the time.
-_LEASE_USED_PART = 0.1
-_TRIAL_S = 15.0
-# A claim that takes longer is of no use to its request, in seconds.
-_CLAIM_S = 0.3
-# Pause after a failed write, in seconds, at least and at most.
-_PAUSES_S = (0.1, 0.5)
+# A lease is reused for new records during this share of its lifetime, so that
+# each record is kept for at least the rest of it.
+_LEASE_REUSE_SHARE = 0.1
+_TRIAL_LEASE_S = 15.0
+# A slower claim comes too late for its request, in seconds.
+_CLAIM_TIMEOUT_S = 0.3
+# Shortest and longest pause after a failed write, in seconds.
+_RETRY_PAUSE_RANGE_S = (0.1, 0.5)
 
 
 class EndRecords(msgspec.Struct, frozen=True):
-    """Upstreams that ended, and suspects that were served since."""
+    """Upstreams that ended, and suspect requests answered since then."""
 
     ended: tuple[UpstreamEnd, ...]
     cleared: tuple[Cleared, ...]
 
 
 def decode_ends(raw: bytes) -> EndRecords:
-    """Return what was written of ends; raise DecodeError."""
-    return parsed(raw, EndRecords)
+    """Decode stored records; raise DecodeError."""
+    return parse_json(raw, EndRecords)
 
 
 def encode_ends(records: EndRecords) -> bytes:
-    """Return records as they are written."""
+    """Encode records for the store."""
     return msgspec.json.encode(records)
 
 
 class EndRecorder:
-    """Writes what must outlast all instances, and claims trials."""
+    """Writes records that must survive all instances, and claims trials."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         log: Callable[..., None],
         rng: random.Random,
     ) -> None:
-        """Write through a client that nothing else uses."""
+        """Write through `client`, which must not be shared."""
         self._client = client
         client.cause = CallCause.ends
         self._incarnation = incarnation
@@ -69,25 +70,25 @@
         self._loop = asyncio.get_running_loop()
         self._ended: list[UpstreamEnd] = []
         self._cleared: list[Cleared] = []
-        self._due = asyncio.Event()
-        self._written = 0
+        self._has_records = asyncio.Event()
+        self._write_count = 0
         self._lease: int | None = None
-        self._leased_until: float = 0
+        self._lease_reused_until: float = 0
 
     def ended(self, end: UpstreamEnd) -> None:
-        """Have an end written."""
+        """Queue the end of an upstream for writing."""
         self._ended.append(end)
-        self._due.set()
+        self._has_records.set()
 
     def cleared(self, cleared: Cleared) -> None:
-        """Have it written that a suspect was served."""
+        """Queue the record that a suspect request was answered."""
         self._cleared.append(cleared)
-        self._due.set()
+        self._has_records.set()
 
     async def run(self) -> None:
         """Write until cancelled."""
         while True:
-            await self._due.wait()
+            await self._has_records.wait()
             try:
                 await self._write()
             except LeaseEndedError:
@@ -95,15 +96,15 @@
             except StoreError as exc:
                 self._log(Event.store_call_failed, cause=str(exc))
                 self._client.close()
-                await asyncio.sleep(self._rng.uniform(*_PAUSES_S))
+                await asyncio.sleep(self._rng.uniform(*_RETRY_PAUSE_RANGE_S))
 
     async def claim(self, content: str) -> int | None:
-        """Claim the trial of a request; return its lease, None if refused.
+        """Claim the trial of a request; return its lease, None if taken.
 
-        Raises StoreError or TimeoutError where the store does not say.
+        Raises StoreError or TimeoutError if the store does not answer.
         """
-        async with asyncio.timeout(_CLAIM_S):
-            lease = await self._client.grant_lease(_TRIAL_S)
+        async with asyncio.timeout(_CLAIM_TIMEOUT_S):
+            lease = await self._client.grant_lease(_TRIAL_LEASE_S)
             try:
                 await self._client.create(_TRIALS_PREFIX + content, lease)
             except ConditionFailedError:
@@ -111,7 +112,7 @@
         return lease
 
     async def release(self, lease: int) -> None:
-        """Give a claim back; one that cannot be goes with its lease."""
+        """Release a claim; if the call fails, its lease expires."""
         try:
             await self._client.end_lease(lease)
         except StoreError as exc:
@@ -120,18 +121,18 @@
     async def _write(self) -> None:
         lease = await self._current_lease()
         records = EndRecords(tuple(self._ended), tuple(self._cleared))
-        key = f'{ENDS_PREFIX}{self._incarnation}-{self._written}'
+        key = f'{ENDS_PREFIX}{self._incarnation}-{self._write_count}'
         await self._client.put(key, encode_ends(records), lease)
-        self._written += 1
-        # What came while it was written is written next.
+        self._write_count += 1
+        # Records queued during the write are kept for the next one.
         self._ended = self._ended[len(records.ended) :]
         self._cleared = self._cleared[len(records.cleared) :]
         if not self._ended and not self._cleared:
-            self._due.clear()
+            self._has_records.clear()
 
     async def _current_lease(self) -> int:
         now = self._loop.time()
-        if self._lease is None or now >= self._leased_until:
+        if self._lease is None or now >= self._lease_reused_until:
             self._lease = await self._client.grant_lease(KEPT_S)
-            self._leased_until = now + KEPT_S * _LEASE_USED_PART
+            self._lease_reused_until = now + KEPT_S * _LEASE_REUSE_SHARE
         return self._lease
--- a/packages/platform/src/tallyhall_platform/entries.py
+++ b/packages/platform/src/tallyhall_platform/entries.py
@@ -1,4 +1,4 @@
-"""What instances write to the store themselves, and read from each other."""
+"""Keys and values that instances write to the store for each other."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 import msgspec
 from tallyhall_dispatch.quota import Written
 
-from .addresses import listening
+from .addresses import parse_address
 from .errors import DecodeError
-from .parse import Name, parsed
+from .parse import NonEmptyStr, parse_json
 
 INSTANCE_PREFIX = 'tallyhall/instances/'
 USE_KEY = 'tallyhall/use'
-# Of roll-outs: what operators order, what becomes of it, and how it stands.
+# Keys of roll-outs: the operators' orders, their status, and the progress
+# records of the instance that leads one.
 ORDERS_PREFIX = 'op/rollout/'
 STATUS_PREFIX = 'status/rollout/'
 RECORDS_PREFIX = 'tallyhall/rollouts/'
@@ -21,46 +22,47 @@
 
 
 class InstanceEntry(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What an instance tells the others about itself."""
+    """An instance's registration, read by all other instances."""
 
-    instance: Name
-    incarnation: Name
-    # Where callers and other instances connect, as IP:PORT.
+    instance: NonEmptyStr
+    incarnation: NonEmptyStr
+    # Addresses for callers and for other instances, as IP:PORT.
     front: str
     peer: str
     zone: str
     region: str
-    # What it can do beside its own requests; 0 where it is not stated.
+    # Processor time that it has, in cores; 0 if not stated.
     cores: Annotated[float, msgspec.Meta(ge=0)] = 0
     leaving: bool = False
 
 
 def decode_instance(instance: str, raw: bytes) -> InstanceEntry:
-    """Return the entry under the key of an instance; raise DecodeError."""
-    entry = parsed(raw, InstanceEntry)
+    """Decode the entry under an instance's key; raise DecodeError."""
+    entry = parse_json(raw, InstanceEntry)
     if entry.instance != instance:
         raise DecodeError(f'instance: not {instance}')
     try:
-        listening(entry.front)
-        listening(entry.peer)
+        parse_address(entry.front)
+        parse_address(entry.peer)
     except ValueError as exc:
         raise DecodeError(f'front or peer: {exc}') from exc
     return entry
 
 
 def encode_instance(entry: InstanceEntry) -> bytes:
-    """Return an entry as it is written."""
+    """Encode an entry for the store."""
     return msgspec.json.encode(entry)
 
 
 def decode_use(raw: bytes) -> Written:
-    """Return what an instance wrote of its use; raise DecodeError.
+    """Decode the stored use of quotas; raise DecodeError.
 
-    By workspace, ages in seconds and the amounts that were admitted then.
+    Maps each workspace to pairs of an age in seconds and the amount that was
+    admitted at that age.
     """
-    return parsed(raw, dict[str, tuple[tuple[_Seconds, float], ...]])
+    return parse_json(raw, dict[str, tuple[tuple[_Seconds, float], ...]])
 
 
 def encode_use(use: Written) -> bytes:
-    """Return the use of quotas as it is written."""
+    """Encode the use of quotas for the store."""
     return msgspec.json.encode(use)
--- a/packages/platform/src/tallyhall_platform/errors.py
+++ b/packages/platform/src/tallyhall_platform/errors.py
@@ -1,34 +1,34 @@
-"""Errors of the adapter."""
+"""Exceptions of the platform adapter."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """The settings file is missing or wrong; the text names the key."""
+    """The settings file is missing or invalid; the text names the key."""
 
 
 class DecodeError(Exception):
-    """A value in the store does not have the published form."""
+    """A stored value does not have the documented format."""
 
 
 class StoreError(Exception):
-    """Base of the store client's errors."""
+    """Base class of the store client's errors."""
 
 
 class StoreUnavailableError(StoreError):
-    """No usable answer; a write may or may not have been done."""
+    """No usable answer; a write may or may not have been executed."""
 
 
 class StoreRefusedError(StoreUnavailableError):
-    """The store refused the call (429, 503); nothing was done."""
+    """The store refused the call (429, 503); nothing was executed."""
 
 
 class StoreLimitedError(StoreRefusedError):
-    """The store works and refused one call too many (429)."""
+    """The store works, but its rate limit is exceeded (429)."""
 
 
-class HistoryGoneError(StoreError):
-    """The store no longer holds the changes asked for; read all again."""
+class HistoryCompactedError(StoreError):
+    """The requested changes are compacted; a full read is needed."""
 
 
 class ConditionFailedError(StoreError):
@@ -36,4 +36,4 @@
 
 
 class LeaseEndedError(StoreError):
-    """The lease has ended; its keys are gone."""
+    """The lease has ended and its keys are deleted."""
--- a/packages/platform/src/tallyhall_platform/follow.py
+++ b/packages/platform/src/tallyhall_platform/follow.py
@@ -1,13 +1,13 @@
-"""Follows the store: desired state, upstreams and the other instances.
+"""Follows the store: the desired state, upstreams and other instances.
 
-One watch over all keys brings every change and confirms at the same time
-that nothing changed before it was asked: each answer, also an empty one,
-confirms the desired state as of the moment of the question.
+One watch over all keys returns every change. Each answer, even an empty one,
+also confirms that the known desired state was current when the watch started.
 
-In a large fleet only a few instances do so. Something changes all the time
-there, and each change would wake a watch of every instance: 1.5 calls a
-second of each at 195. The others are told (history.py). They look for
-themselves once they are not told in time, a moment apart from each other.
+In a large fleet only a few instances, the relays, watch the store. Changes
+are constant there, and each would end a watch of every instance: 1.5 calls a
+second by each of 195. The other instances, the subscribers, get changes from
+the relays (history.py) and read the store themselves only if these are late,
+each after a random delay.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from .absence import Absence
 from .calls import CallCause
 from .errors import (
-    HistoryGoneError,
+    HistoryCompactedError,
     StoreError,
     StoreLimitedError,
     StoreRefusedError,
@@ -30,54 +30,55 @@
 from .store import StoreClient
 from .view import Listener, Log, StoreView
 
-# A watch confirms the state as of its start, so its length adds to the age
-# of every confirmation; each one is a priced call.
+# A watch confirms the state as of its start, so a longer one makes
+# confirmations older, while a shorter one costs more calls, which are billed.
 _WATCH_S = 1.0
-# One that tells others watches for this part of the time that a change may
-# take, in seconds at most, since what it knows grows older on its way to them.
-_RELAY_PART = 0.15
-_RELAY_WATCH_S = 0.6
-# A watch that is lost silently is known 0.6 s after its end, and the rest is
-# for the call that replaces it; all of that, and the time for which its
-# connection was idle before it, fits into the bound on contact. Shorter ones
-# than the least cost more than they bring, as no call is given up before a
-# second.
-_LOST_WATCH_S = 0.9
-_LEAST_WATCH_S = 0.3
-# Least time between two watches, so that changes that come in a row share a
-# call, as those of a rolling restart do.
-_LEAST_GAP_S = 0.35
-# What is told is asked for this often, in parts of the time that a change may
-# take and in seconds at most: a change, one question that is lost and its
-# repetition fit into that time.
-_ASK_PART = 0.2
-_LONGEST_ASK_S = 0.8
-# Added to the age at which the next confirmation is told: the answers, and
-# timers that fire late under load.
-_TOLD_LATE_S = 0.3
-# Those that are not told any more look one after another within this time, so
-# that 195 instances make 650 calls a second and not all of them at once.
-_SPREAD_S = 0.3
-# Whether it is told is looked at this often, in seconds.
-_LOOK_S = 0.1
-# Pause after a failed call, in seconds, and how far it grows.
-_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 0.8
-# A store that does not answer at all is asked again this long after the last
-# question: what a return is noticed late is lost to entries that lapsed, which
-# have contact-ms less this time to come back.
-_NOTICE_S = 0.65
-# The first question after a failed call is answered at once, so that the
-# return is known before the next change; one call more for each return.
-_PROBE_S = 0.01
+# A relay's watch lasts this share of `change_s`, up to a maximum in seconds,
+# as its subscribers learn of changes later than the relay itself.
+_RELAY_WATCH_SHARE = 0.15
+_MAX_RELAY_WATCH_S = 0.6
+# Part of `contact_s` that a watch must leave free. A watch that gets no answer
+# is given up within 0.6 s of its end, and the rest is for the call that
+# replaces it; the time for which its connection was idle before counts as
+# well. A watch below the minimum saves nothing, as no call times out in less
+# than a second.
+_LOST_WATCH_ALLOWANCE_S = 0.9
+_MIN_WATCH_S = 0.3
+# Pause between two watches, so that changes in quick succession, such as those
+# of a rolling restart, share one call.
+_WATCH_PAUSE_S = 0.35
+# Interval at which a subscriber asks a relay, as a share of `change_s` and at
+# most in seconds: a change, one lost request and its repetition fit into that
+# time.
+_POLL_SHARE = 0.2
+_MAX_POLL_S = 0.8
+# Allowance for the relay's answers and for timers that fire late under load
+# when it is decided that the relays are late.
+_RELAY_LATENCY_S = 0.3
+# Longest random delay before a subscriber reads the store itself because the
+# relays are late: 195 instances then make 650 calls a second instead of all
+# calls at once.
+_JITTER_S = 0.3
+# Interval at which a subscriber checks whether the relays are late.
+_CHECK_INTERVAL_S = 0.1
+# Shortest and longest pause after failed calls, in seconds.
+_MIN_RETRY_PAUSE_S = 0.1
+_MAX_RETRY_PAUSE_S = 0.8
+# A store that does not answer is called again this long after the start of the
+# last call. A return that is noticed late leaves expired entries less time to
+# be written again: contact-ms minus this delay.
+_OUTAGE_POLL_S = 0.65
+# The first watch after a failed call waits only this long, so that the return
+# of the store is noticed before the next change; it costs one call more.
+_PROBE_WAIT_S = 0.01
 
 
 @enum.unique
 class Role(enum.Enum):
-    """What an instance does for what is known of the store.
+    """How an instance learns of changes in the store.
 
-    solo: it watches for itself. relay: also for subscribers, which watch
-    nothing.
+    solo: it watches the store for itself. relay: it watches the store and
+    passes changes on to subscribers. subscriber: it gets changes from relays.
     """
 
     solo = 'solo'
@@ -86,7 +87,7 @@
 
 
 class Follower:
-    """Keeps a view at the store's newest state."""
+    """Keeps a view up to date with the store."""
 
     def __init__(
         self,
@@ -97,9 +98,9 @@
         absence: Absence,
         change_s: float,
     ) -> None:
-        """Follow through a client that nothing else uses.
+        """Follow through `client`, which must not be shared.
 
-        change_s: how long a change may take to be in force.
+        change_s: how long a change may take to be applied.
         """
         self.view = StoreView(listener, log, absence, change_s)
         self.role = Role.solo
@@ -111,22 +112,22 @@
         self._loop = asyncio.get_running_loop()
         self._reachable = False
         self._failures = 0
-        self._spread_s = rng.uniform(0, _SPREAD_S)
+        self._jitter_s = rng.uniform(0, _JITTER_S)
 
     @property
     def ask_s(self) -> float:
-        """Return how often a subscriber asks what changed."""
-        return min(_LONGEST_ASK_S, _ASK_PART * self.view.change_s)
+        """Return the interval at which a subscriber asks for changes."""
+        return min(_MAX_POLL_S, _POLL_SHARE * self.view.change_s)
 
     @property
     def untold_s(self) -> float:
-        """Return the age from which what is known is not told in time.
+        """Return the age of a subscriber's view at which the relays are late.
 
-        A watch confirms the state as of its start at its end, when the one
-        before it is a pause and two watches old.
+        A watch confirms, when it ends, the state as of its start. Just
+        before, the newest confirmation is two watches and a pause old.
         """
         watches_s = 2 * self._relay_watch_s()
-        return watches_s + _LEAST_GAP_S + self.ask_s + _TOLD_LATE_S
+        return watches_s + _WATCH_PAUSE_S + self.ask_s + _RELAY_LATENCY_S
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -137,70 +138,70 @@
 
     async def _follow(self) -> None:
         while True:
-            is_told = await self._until_due()
+            relays_are_late = await self._wait_while_relayed()
             asked_at = self._loop.time()
             try:
-                await self._step(asked_at, is_told=is_told)
-                pause_s = _LEAST_GAP_S
-            except HistoryGoneError:
-                self._found()
+                await self._step(asked_at, relays_are_late=relays_are_late)
+                pause_s = _WATCH_PAUSE_S
+            except HistoryCompactedError:
+                self._on_answer()
                 self.view.cursor = None
-                pause_s = _LEAST_GAP_S
+                pause_s = _WATCH_PAUSE_S
             except StoreError as exc:
-                pause_s = self._lost(exc, asked_at)
+                pause_s = self._on_failure(exc, asked_at)
             await asyncio.sleep(pause_s)
-            if pause_s > _LEAST_GAP_S:
-                # A connection may have gone silent in a long pause.
+            if pause_s > _WATCH_PAUSE_S:
+                # The connection may have broken unnoticed in a long pause.
                 self._client.close()
 
-    async def _until_due(self) -> bool:
-        """Wait while others tell what changes; return whether they did."""
-        is_told = False
+    async def _wait_while_relayed(self) -> bool:
+        """Wait while relays send changes; return whether they became late."""
+        has_waited = False
         while self.role is Role.subscriber and self.view.cursor is not None:
-            due_at = self.view.followed_at + self.untold_s + self._spread_s
+            due_at = self.view.followed_at + self.untold_s + self._jitter_s
             if self._loop.time() >= due_at:
-                self._spread_s = self._rng.uniform(0, _SPREAD_S)
+                self._jitter_s = self._rng.uniform(0, _JITTER_S)
                 return True
-            if not is_told:
-                is_told = True
+            if not has_waited:
+                has_waited = True
                 self._client.close()
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
         return False
 
-    async def _step(self, asked_at: float, *, is_told: bool) -> None:
+    async def _step(self, asked_at: float, *, relays_are_late: bool) -> None:
         cursor = self.view.cursor
-        self._client.cause = self._cause(is_told=is_told)
+        self._client.cause = self._cause(relays_are_late=relays_are_late)
         if cursor is None:
             snapshot = await self._client.snapshot('')
-            self._found()
+            self._on_answer()
             self.view.take_all(snapshot, asked_at)
             return
-        wait_s = _PROBE_S if is_told else self._watch_s()
+        wait_s = _PROBE_WAIT_S if relays_are_late else self._watch_s()
         answer = await self._client.watch('', cursor, wait_s)
-        self._found()
+        self._on_answer()
         self.view.take_changes(answer, asked_at)
 
-    def _cause(self, *, is_told: bool) -> CallCause:
+    def _cause(self, *, relays_are_late: bool) -> CallCause:
         if self._failures:
             return CallCause.retry
         if self.view.cursor is None:
             return CallCause.start
-        return CallCause.untold if is_told else CallCause.steady
+        return CallCause.untold if relays_are_late else CallCause.steady
 
     def _watch_s(self) -> float:
         if not self._reachable:
-            return _PROBE_S
+            return _PROBE_WAIT_S
         bound_s = self._absence.contact_s - self._client.idle_s()
         watch_s = _WATCH_S
         if self.role is Role.relay:
             watch_s = self._relay_watch_s()
-        longest_s = bound_s - _LOST_WATCH_S
-        return max(_LEAST_WATCH_S, min(watch_s, longest_s))
+        longest_s = bound_s - _LOST_WATCH_ALLOWANCE_S
+        return max(_MIN_WATCH_S, min(watch_s, longest_s))
 
     def _relay_watch_s(self) -> float:
-        return min(_RELAY_WATCH_S, _RELAY_PART * self.view.change_s)
+        return min(_MAX_RELAY_WATCH_S, _RELAY_WATCH_SHARE * self.view.change_s)
 
-    def _found(self) -> None:
+    def _on_answer(self) -> None:
         self._failures = 0
         self._absence.answered(self._loop.time())
         if self._reachable:
@@ -208,24 +209,29 @@
         self._reachable = True
         self._listener.on_store(reachable=True)
 
-    def _lost(self, exc: StoreError, asked_at: float) -> float:
+    def _on_failure(self, exc: StoreError, asked_at: float) -> float:
         now = self._loop.time()
         self._failures += 1
-        # A store that limits calls works: upstreams keep their entries.
+        # A store that only limits calls is not down: upstreams keep their
+        # entries.
         if isinstance(exc, StoreLimitedError):
             self._absence.alive(now)
         else:
-            self._absence.failed(min(asked_at, self._client.proved_at))
+            self._absence.failed(min(asked_at, self._client.last_worked_at))
         if self._reachable and isinstance(exc, StoreUnavailableError):
             self._reachable = False
             self._listener.on_store(reachable=False)
         self._log(Event.store_call_failed, cause=str(exc))
-        longest = min(_LONGEST_PAUSE_S, _PAUSE_S * 2**self._failures)
+        longest = min(
+            _MAX_RETRY_PAUSE_S,
+            _MIN_RETRY_PAUSE_S * 2**self._failures,
+        )
         if not isinstance(exc, StoreRefusedError):
-            left_s = _NOTICE_S - (now - asked_at)
-            longest = min(longest, max(_PAUSE_S, left_s))
-        pause_s = self._rng.uniform(_PAUSE_S, longest)
+            left_s = _OUTAGE_POLL_S - (now - asked_at)
+            longest = min(longest, max(_MIN_RETRY_PAUSE_S, left_s))
+        pause_s = self._rng.uniform(_MIN_RETRY_PAUSE_S, longest)
         if self.role is Role.subscriber:
-            # Relays notice the return, and are asked for it.
-            return pause_s + self._rng.uniform(0, _LONGEST_PAUSE_S)
+            # Subscribers learn of the return from the relays, so they retry
+            # less often.
+            return pause_s + self._rng.uniform(0, _MAX_RETRY_PAUSE_S)
         return pause_s
--- a/packages/platform/src/tallyhall_platform/history.py
+++ b/packages/platform/src/tallyhall_platform/history.py
@@ -1,10 +1,11 @@
-"""The last changes of the store, kept for instances that do not watch it.
-
-In a large fleet a few instances watch the store and tell the others, who name
-the revision up to which they know everything. What is told starts right there,
-so that nothing between two tellings can be missing: one that was told by
-another instance before, or was away for a while, is told what it lacks or, if
-that is no longer kept, that it must look for itself.
+"""Recent changes of the store, kept for instances that do not watch it.
+
+In a large fleet a few instances, the relays, watch the store. The others, the
+subscribers, ask a relay for the changes after the revision up to which they
+know everything, so that none is missing between two answers, even if they
+come from different relays or after a pause. If the relay no longer keeps
+these changes, its answer starts at a later revision, and the subscriber must
+read the store itself.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 
 from .store import Change
 
-# Changes that are kept: ten starts of a fleet of 410 would fill it, half a
-# megabyte with entries of 250 bytes.
+# Ten starts of a fleet of 410 instances fill it: half a megabyte with entries
+# of 250 bytes.
 _MOST_KEPT = 2000
 
 
 class News(msgspec.Struct, frozen=True):
-    """What one instance tells another of the store.
+    """Changes of the store that one instance sends to another.
 
-    after: nothing that changed later is missing, up to `revision`.
+    Holds every change after the revision `after` up to `revision`.
     """
 
     after: int
@@ -30,36 +31,40 @@
 
 
 class History:
-    """The newest change of each key, in the order in which they were taken."""
+    """The latest change of each key, oldest first."""
 
     def __init__(self) -> None:
-        """Start without a revision to tell from."""
-        self._since: int | None = None
-        self._newest = 0
+        """Create an empty history; `begin` sets its base revision."""
+        self._base_revision: int | None = None
+        self._newest_revision = 0
         self._changes: dict[str, Change] = {}
 
     def begin(self, revision: int) -> None:
-        """Take that all up to this revision was read at once."""
+        """Restart after a full read of the store at this revision."""
         self._changes.clear()
-        self._since = revision
+        self._base_revision = revision
 
     def note(self, change: Change) -> None:
-        """Keep a change that is in force."""
-        # Taken out first, so that the oldest are the first ones.
+        """Add a change that has been applied."""
+        # Removed first, so that the dictionary stays in order of age.
         self._changes.pop(change.key, None)
         self._changes[change.key] = change
-        self._newest = max(self._newest, change.revision)
+        self._newest_revision = max(self._newest_revision, change.revision)
         if len(self._changes) > _MOST_KEPT:
-            self._forget_oldest()
+            self._evict_oldest()
 
     def news(self, after: int, revision: int) -> News | None:
-        """Return what changed after a revision, None if nothing is known."""
-        since = self._since
+        """Return the changes after a revision, None before the first read.
+
+        If some of them are no longer kept, the result is empty and starts at
+        a later revision.
+        """
+        since = self._base_revision
         if since is None:
             return None
         if after < since:
             return News(since, revision)
-        if after >= self._newest:
+        if after >= self._newest_revision:
             return News(after, revision)
         later = tuple(
             change
@@ -68,8 +73,8 @@
         )
         return News(after, revision, later)
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         oldest = next(iter(self._changes))
         revision = self._changes.pop(oldest).revision
-        if self._since is not None:
-            self._since = max(self._since, revision)
+        if self._base_revision is not None:
+            self._base_revision = max(self._base_revision, revision)
--- a/packages/platform/src/tallyhall_platform/locate.py
+++ b/packages/platform/src/tallyhall_platform/locate.py
@@ -1,4 +1,4 @@
-"""The answer to callers that ask where to connect, in the platform's form."""
+"""Encodes the answer to callers that ask which address to connect to."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 
 
 def encode_addresses(addresses: Sequence[str], keep_s: float) -> bytes:
-    """Return the body; callers keep it for this long."""
+    """Return the JSON body; callers may cache it for `keep_s` seconds."""
     return json.dumps({'addresses': addresses, 'ttl-s': keep_s}).encode()
--- a/packages/platform/src/tallyhall_platform/parse.py
+++ b/packages/platform/src/tallyhall_platform/parse.py
@@ -1,8 +1,8 @@
-"""Values of the store, checked against a model.
+"""Parses and validates JSON values.
 
-Others may write anything to the store, so nothing but this package's own
-error comes of a value: of bytes that are no JSON, of numbers beyond every
-type, of nesting that is deeper than the interpreter's stack.
+Other programs may write anything to the store, so every invalid value raises
+DecodeError and nothing else: bytes that are not JSON, numbers out of range,
+nesting deeper than the interpreter's stack.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 from .errors import DecodeError
 
-Millis = Annotated[float, msgspec.Meta(ge=0)]
-Count = Annotated[int, msgspec.Meta(ge=0)]
-Name = Annotated[str, msgspec.Meta(min_length=1)]
+Milliseconds = Annotated[float, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
+NonEmptyStr = Annotated[str, msgspec.Meta(min_length=1)]
 _Model = TypeVar('_Model')
 
 
-class Part(msgspec.Struct, frozen=True, rename='kebab'):
-    """An object in the platform's spelling.
+class KebabStruct(msgspec.Struct, frozen=True, rename='kebab'):
+    """Base of JSON objects whose field names are in kebab case.
 
-    New fields may come at any time: those that are not named are ignored.
+    Unknown fields are ignored, as the platform may add fields at any time.
     """
 
 
-def parsed(raw: bytes, model: type[_Model]) -> _Model:
-    """Return what the bytes hold; raise DecodeError naming the place."""
+def parse_json(raw: bytes, model: type[_Model]) -> _Model:
+    """Parse JSON into a model; raise DecodeError naming the invalid field."""
     try:
         return msgspec.json.decode(raw, type=model)
     except (ValueError, RecursionError) as exc:
--- a/packages/platform/src/tallyhall_platform/registry.py
+++ b/packages/platform/src/tallyhall_platform/registry.py
@@ -1,9 +1,9 @@
-"""An instance's own entry in the store, kept alive by a lease.
+"""Registers an instance in the store under a lease.
 
-The entries are how callers and other instances find each other. An entry
-goes with its lease when the instance dies. One that stops marks its entry
-first and removes it at its end: callers are not sent there any more, and the
-other instances go on counting what it admits.
+Callers and other instances find an instance by its entry, which expires with
+the lease when the instance dies. A stopping instance marks its entry as
+leaving and removes it at the end: no more callers are sent to it, while the
+other instances still count the requests that it admits.
 """
 
 from __future__ import annotations
@@ -28,36 +28,37 @@
 from .errors import LeaseEndedError, StoreError
 from .store import StoreClient
 
-# A dead instance is offered to callers for at most this long; the lease is
-# renewed three times within it, so that one lost answer does not end it.
+# Callers may be sent to a dead instance for this long. The lease is renewed
+# three times within it, so that one lost answer does not end it.
 _LEASE_S = 2.4
-_RENEW_S = 0.8
-# An instance whose lease ran out has not reached the store for this long.
-LEAST_UNSEEN_S = _LEASE_S - _RENEW_S
-_PAUSE_S = 0.2
+_RENEW_INTERVAL_S = 0.8
+# An instance whose lease expired has not reached the store for at least this
+# long.
+LEAST_UNSEEN_S = _LEASE_S - _RENEW_INTERVAL_S
+_MIN_RETRY_PAUSE_S = 0.2
 _NO_LEASE = 0
 
 
 class UseSource(Protocol):
-    """The use of quotas that must outlast all processes."""
+    """Provides the use of quotas, which must survive all processes."""
 
     def due(self) -> Written | None:
-        """Return what must be written now, None for nothing."""
+        """Return the use to write now, None if there is nothing to write."""
 
     def written(self, use: Written) -> None:
-        """Take that the store has it."""
+        """Record that the store holds this use."""
 
 
-class Told(Protocol):
-    """What the store was last known to hold."""
+class KnownEntries(Protocol):
+    """The registered instances as last read from the store."""
 
     entries: tuple[InstanceEntry, ...]
-    # Nothing older than this is missing in the entries, on the loop's clock.
+    # The entries include every change up to this time of the loop's clock.
     confirmed_at: float
 
 
 class Registration:
-    """Keeps one instance's entry in the store."""
+    """Keeps an instance's entry in the store."""
 
     def __init__(
         self,
@@ -67,11 +68,12 @@
         rng: random.Random,
         uses: UseSource,
         least_lease_s: float,
-        told: Told | None = None,
+        known: KnownEntries | None = None,
     ) -> None:
-        """Register through a client that nothing else uses.
+        """Register through `client`, which must not be shared.
 
-        told: None where nothing follows the store.
+        known: entries as read from the store, to detect that this one is
+        missing; None disables the check.
         """
         self._client = client
         self._entry = entry
@@ -80,40 +82,44 @@
         self._uses = uses
         self._lease_s = max(_LEASE_S, least_lease_s)
         self._lease: int | None = None
-        # Writes under these got no answer and may be executed seconds later.
-        self._doubtful: list[int] = []
+        # Leases of writes that got no answer: the store may still execute
+        # such a write seconds later.
+        self._unconfirmed: list[int] = []
         self._written_at = float('inf')
-        self._told = told
+        self._known = known
         self._is_marked = False
 
     async def run(self) -> None:
-        """Keep the entry until cancelled."""
-        await self._repeat(self._step)
+        """Keep the entry registered until cancelled."""
+        await self._run_periodically(self._step)
 
     async def leave(self, life_s: float) -> None:
-        """Mark the entry as leaving for what is left of the life.
+        """Mark the entry as leaving for the `life_s` seconds that remain.
 
-        One lease for all of it costs two calls; renewals would cost ten.
-        Until cancelled the use of quotas is written as before: after a stop
-        of all, those that follow have nobody to ask.
+        One lease for all of this time costs two calls; renewals would cost
+        ten. The use of quotas is still written until cancelled: if all
+        instances stop, their successors have no peer to ask for it.
         """
         self._entry = msgspec.structs.replace(self._entry, leaving=True)
         self._lease_s = max(self._lease_s, life_s)
-        await self._repeat(self._leaving_step)
+        await self._run_periodically(self._leaving_step)
 
     async def end(self, within_s: float) -> None:
-        """Remove the entry; a lost answer leaves that to the lease."""
+        """Remove the entry; if the call fails, its lease expires."""
         try:
             async with asyncio.timeout(within_s):
                 if self._lease is not None:
                     await self._client.end_lease(self._lease)
-                await self._end_doubtful()
+                await self._end_unconfirmed()
         except (StoreError, TimeoutError) as exc:
             self._log(Event.store_call_failed, cause=repr(exc))
 
-    async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
+    async def _run_periodically(
+        self,
+        step: Callable[[], Awaitable[None]],
+    ) -> None:
         while True:
-            pause_s = _RENEW_S
+            pause_s = _RENEW_INTERVAL_S
             try:
                 await step()
                 self._client.cause = CallCause.steady
@@ -123,14 +129,17 @@
             except StoreError as exc:
                 self._client.cause = CallCause.retry
                 self._log(Event.store_call_failed, cause=str(exc))
-                pause_s = self._rng.uniform(_PAUSE_S, _RENEW_S)
+                pause_s = self._rng.uniform(
+                    _MIN_RETRY_PAUSE_S,
+                    _RENEW_INTERVAL_S,
+                )
             await asyncio.sleep(pause_s)
 
     async def _write_use(self) -> None:
         use = self._uses.due()
         if use is None:
             return
-        # Under no lease: it matters after the end of this process.
+        # Without a lease, as it must survive this process.
         self._client.cause = CallCause.use
         await self._client.put(USE_KEY, encode_use(use), _NO_LEASE)
         self._client.cause = CallCause.steady
@@ -140,7 +149,7 @@
         if not self._is_marked:
             await self._register()
             self._is_marked = True
-        await self._end_doubtful()
+        await self._end_unconfirmed()
         await self._write_use()
 
     async def _step(self) -> None:
@@ -148,42 +157,42 @@
             await self._register()
         else:
             await self._client.keep_lease(self._lease)
-            if self._is_lost():
+            if self._is_entry_missing():
                 await self._write(self._lease)
             await self._write_use()
-        await self._end_doubtful()
+        await self._end_unconfirmed()
 
-    def _is_lost(self) -> bool:
-        """Return whether the entry that was written does not stand.
+    def _is_entry_missing(self) -> bool:
+        """Return whether the store no longer holds the entry as written.
 
-        A write of an earlier run or under an earlier lease may be executed
-        after this run's own and take the entry with it, while the lease is
-        renewed without an error.
+        A delayed write of an earlier run or under an earlier lease may
+        overwrite the entry and expire with that lease, while the current
+        lease is renewed without an error.
         """
-        told = self._told
-        if told is None or told.confirmed_at <= self._written_at:
+        known = self._known
+        if known is None or known.confirmed_at <= self._written_at:
             return False
         own = (self._entry.instance, self._entry.incarnation, False)
         return all(
             (entry.instance, entry.incarnation, entry.leaving) != own
-            for entry in told.entries
+            for entry in known.entries
         )
 
-    async def _end_doubtful(self) -> None:
-        """End the leases of lost writes, which then come to nothing.
+    async def _end_unconfirmed(self) -> None:
+        """End the leases of unanswered writes, so that these have no effect.
 
-        After the entry is written under another lease, so that it stands
-        all the time.
+        Called once the entry is written under another lease, so that it is
+        never missing.
         """
-        while self._doubtful:
-            await self._client.end_lease(self._doubtful[-1])
-            self._doubtful.pop()
+        while self._unconfirmed:
+            await self._client.end_lease(self._unconfirmed[-1])
+            self._unconfirmed.pop()
 
     async def _register(self) -> None:
         lease = await self._client.grant_lease(self._lease_s)
-        self._doubtful.append(lease)
+        self._unconfirmed.append(lease)
         await self._write(lease)
-        self._doubtful.remove(lease)
+        self._unconfirmed.remove(lease)
         self._lease = lease
 
     async def _write(self, lease: int) -> None:
--- a/packages/platform/src/tallyhall_platform/rollouts.py
+++ b/packages/platform/src/tallyhall_platform/rollouts.py
@@ -1,8 +1,8 @@
-"""Roll-outs in the store: what operators order, and what becomes of it.
+"""Roll-outs in the store: the operators' orders, their status and progress.
 
-The status of an order and the record of who leads it are written only where
-they stand as they were read, so that whoever holds an older view overwrites
-nothing, and a last word is the last.
+The status of an order and the record of its leader are written only if they
+are unchanged since they were read, so that an instance with an outdated view
+overwrites nothing and a final status stays final.
 """
 
 from __future__ import annotations
@@ -21,37 +21,39 @@
 from .calls import CallCause
 from .entries import ORDERS_PREFIX, RECORDS_PREFIX, STATUS_PREFIX
 from .errors import DecodeError
-from .parse import Name, Part, parsed
+from .parse import KebabStruct, NonEmptyStr, parse_json
 from .store import Change, Item, StoreClient, Write
 
 
-class _Order(Part, frozen=True):
-    service: Name
-    target: Name
+class _Order(KebabStruct, frozen=True):
+    service: NonEmptyStr
+    target: NonEmptyStr
     duration_s: Annotated[float, msgspec.Meta(gt=0)]
 
 
 _State = Literal['running', 'completed', 'rolled_back']
 
 
-class _Status(Part, frozen=True):
-    service: Name
-    target: Name
+class _Status(KebabStruct, frozen=True):
+    service: NonEmptyStr
+    target: NonEmptyStr
     state: _State
 
 
-_STATES: Mapping[_State, RolloutState] = {  # noqa: WPS407
+_STATE_BY_NAME: Mapping[_State, RolloutState] = {  # noqa: WPS407
     'running': RolloutState.running,
     'completed': RolloutState.completed,
     'rolled_back': RolloutState.rolled_back,
 }
-_NAMES = {state: name for name, state in _STATES.items()}  # noqa: WPS407
+_NAME_BY_STATE = {  # noqa: WPS407
+    state: name for name, state in _STATE_BY_NAME.items()
+}
 
 
 class StoredRollout(msgspec.Struct, frozen=True):
-    """What the store holds of a service's roll-out, with its revisions.
+    """The stored status and record of a service's roll-out, with revisions.
 
-    A record that cannot be read is none.
+    A status or record that cannot be decoded is None.
     """
 
     status: RolloutStatus | None
@@ -61,12 +63,12 @@
 
 
 def is_order_key(key: str) -> bool:
-    """Return whether a key holds an order."""
+    """Return whether a key is that of an order."""
     return key.startswith(ORDERS_PREFIX)
 
 
 def service_of(key: str) -> str:
-    """Return the service that an order or a status is about."""
+    """Return the service in the key of an order or status, '' for others."""
     for prefix in (ORDERS_PREFIX, STATUS_PREFIX):
         if key.startswith(prefix):
             return key.removeprefix(prefix)
@@ -74,10 +76,10 @@
 
 
 def decode_order(change: Change) -> RolloutOrder | None:
-    """Return an order, None where it was withdrawn; raise DecodeError."""
+    """Decode an order, None if it was withdrawn; raise DecodeError."""
     if change.content is None:
         return None
-    order = parsed(change.content, _Order)
+    order = parse_json(change.content, _Order)
     if order.service != service_of(change.key):
         raise DecodeError(f'service: not {service_of(change.key)}')
     return RolloutOrder(
@@ -89,29 +91,33 @@
 
 
 def decode_status(change: Change | Item) -> RolloutStatus | None:
-    """Return a status, None where it is gone; raise DecodeError."""
+    """Decode a status, None if it was deleted; raise DecodeError."""
     if change.content is None:
         return None
-    status = parsed(change.content, _Status)
-    return RolloutStatus(status.target, _STATES[status.state], change.revision)
+    status = parse_json(change.content, _Status)
+    return RolloutStatus(
+        status.target,
+        _STATE_BY_NAME[status.state],
+        change.revision,
+    )
 
 
 class RolloutStore:
-    """Reads and writes the status and the record of roll-outs."""
+    """Reads and writes the status and the progress record of roll-outs."""
 
     def __init__(self, client: StoreClient) -> None:
-        """Call through a client that nothing else uses."""
+        """Call through `client`, which must not be shared."""
         self._client = client
         client.cause = CallCause.rollout
 
     async def read(self, service: str) -> StoredRollout:
-        """Return what the store holds; raise StoreError."""
+        """Read the status and record of a service; raise StoreError."""
         status = await self._client.get(STATUS_PREFIX + service)
         record = await self._client.get(RECORDS_PREFIX + service)
         return StoredRollout(
-            _status(status),
+            _status_or_none(status),
             0 if status is None else status.revision,
-            _record(record),
+            _record_or_none(record),
             0 if record is None else record.revision,
         )
 
@@ -121,10 +127,10 @@
         record: RolloutRecord,
         stored: StoredRollout,
     ) -> StoredRollout:
-        """Write a record; return what stands then.
+        """Write a record; return the stored state after the write.
 
-        Raises ConditionFailedError where what was read does not stand, else
-        another StoreError.
+        Raises ConditionFailedError if the record has changed since it was
+        read, or another StoreError.
         """
         revision = await self._client.swap(
             Write(
@@ -145,11 +151,11 @@
         status: RolloutStatus,
         stored: StoredRollout,
     ) -> StoredRollout:
-        """Write a status if this instance still leads; raise as `write`."""
+        """Write a status if this instance still leads; raises like `write`."""
         revision = await self._client.swap(
             Write(
                 STATUS_PREFIX + service,
-                _encoded(service, status),
+                _encode_status(service, status),
                 stored.status_revision,
             ),
             {RECORDS_PREFIX + service: stored.record_revision},
@@ -161,26 +167,26 @@
         )
 
 
-def _encoded(service: str, status: RolloutStatus) -> bytes:
+def _encode_status(service: str, status: RolloutStatus) -> bytes:
     return msgspec.json.encode(
-        _Status(service, status.target, _NAMES[status.state]),
+        _Status(service, status.target, _NAME_BY_STATE[status.state]),
     )
 
 
-def _status(found: Item | None) -> RolloutStatus | None:
+def _status_or_none(found: Item | None) -> RolloutStatus | None:
     if found is None:
         return None
     try:
         return decode_status(found)
     except DecodeError:
-        # It is written anew over what cannot be read.
+        # A status that cannot be decoded is overwritten.
         return None
 
 
-def _record(found: Item | None) -> RolloutRecord | None:
+def _record_or_none(found: Item | None) -> RolloutRecord | None:
     if found is None:
         return None
     try:
-        return parsed(found.content, RolloutRecord)
+        return parse_json(found.content, RolloutRecord)
     except DecodeError:
         return None
--- a/packages/platform/src/tallyhall_platform/settings.py
+++ b/packages/platform/src/tallyhall_platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked and turned into the product's own."""
+"""Reads the platform's settings file into the product's options."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
     StoreOptions,
 )
 
-from .addresses import listening
+from .addresses import parse_address
 from .errors import SettingsError
-from .parse import Millis, Name, Part
+from .parse import KebabStruct, Milliseconds, NonEmptyStr
 
-# The platform names the settings file in this variable.
+# Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = 'TALLYHALL_CONFIG'
 _MILLI = 1000
-# Offsets into the range of ports that is free for traffic between instances.
-_PEER_PORT = 0
-_METRICS_PORT = 1
+# Offsets into `port-range`, the ports reserved for traffic between instances.
+_PEER_PORT_OFFSET = 0
+_METRICS_PORT_OFFSET = 1
 _Positive = Annotated[float, msgspec.Meta(gt=0)]
-_Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
-_Amount = Annotated[float, msgspec.Meta(ge=0)]
+_Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
+_NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class _Listen(Part, frozen=True):
+class _Listen(KebabStruct, frozen=True):
     front: str
     ready: str
     directory: str
 
 
-class _Limits(Part, frozen=True):
+class _Limits(KebabStruct, frozen=True):
     max_fds: Annotated[int, msgspec.Meta(gt=0)] = 1024
-    # The part of one core that a process gets, and how much faster than a
-    # usual one that core is; not a number of cores.
+    # The share of one core that a process gets, and the speed of that core
+    # relative to a standard one; not a number of cores.
     cpu_share: _Positive = 1
     cores: _Positive = 1
 
 
-class _Bounds(Part, frozen=True):
-    revoke_ms: Millis = 0
+class _Bounds(KebabStruct, frozen=True):
+    revoke_ms: Milliseconds = 0
     grace_s: float = 8
     retry_budget_ratio: float = 0.2
     budget_slack: float = 20
@@ -52,57 +52,59 @@
     quota_window_s: float = 8
     quota_overshoot: float = 0.1
     quota_slack: float = 0
-    contact_ms: Millis = 3000
-    drain_ms: Millis = 2000
-    config_apply_ms: Millis = 2000
-    expose_share: _Share = 0.1
-    expose_slack: _Amount = 50
+    contact_ms: Milliseconds = 3000
+    drain_ms: Milliseconds = 2000
+    config_apply_ms: Milliseconds = 2000
+    expose_share: _Fraction = 0.1
+    expose_slack: _NonNegative = 50
 
 
-class _Store(Part, frozen=True):
+class _Store(KebabStruct, frozen=True):
     address: str
-    ttl_min_ms: Millis = 1000
+    ttl_min_ms: Milliseconds = 1000
 
 
-class _Whole(Part, frozen=True):
-    node: Name
+class _SettingsFile(KebabStruct, frozen=True):
+    node: NonEmptyStr
     zone: str
     ip: Annotated[str, msgspec.Meta(pattern='^[0-9.]+$')]
     listen: _Listen
     port_range: tuple[int, int]
     platform: _Store
     region: str = ''
-    heartbeat_ms: Millis = 1200
+    heartbeat_ms: Milliseconds = 1200
     limits: _Limits = _Limits()
     bounds: _Bounds = _Bounds()
 
 
 def load_options(path: pathlib.Path) -> Options:
-    """Read and check the file; raise SettingsError naming the key."""
+    """Read and validate the file; raise SettingsError naming the key."""
     try:
         raw = path.read_bytes()
     except OSError as exc:
         raise SettingsError(f'{path}: cannot be read: {exc.strerror}') from exc
     try:
-        return _options(msgspec.convert(_tree(raw), _Whole))
-    except _FaultError as exc:
+        return _options(msgspec.convert(_parse_document(raw), _SettingsFile))
+    except _InvalidValueError as exc:
         raise SettingsError(_describe(path, exc.key, exc.text)) from exc
     except msgspec.ValidationError as exc:
-        raise SettingsError(_describe(path, *_fault(str(exc)))) from exc
+        raise SettingsError(
+            _describe(path, *_split_validation_message(str(exc))),
+        ) from exc
     except (ValueError, RecursionError) as exc:
         first = str(exc).partition('\n')[0]
         raise SettingsError(f'{path}: no valid YAML: {first}') from exc
 
 
-def _tree(raw: bytes) -> Any:
-    """Return what the file holds; JSON is YAML and is read in a tenth."""
+def _parse_document(raw: bytes) -> Any:
+    """Parse the file; JSON is also valid YAML, but parses ten times faster."""
     if raw.lstrip().startswith(b'{'):
         return msgspec.json.decode(raw)
     return msgspec.yaml.decode(raw)
 
 
-class _FaultError(Exception):
-    """The text under a key is not what it must be."""
+class _InvalidValueError(Exception):
+    """The value of a key is invalid."""
 
     def __init__(self, key: str, text: str) -> None:
         super().__init__(f'{key}: {text}')
@@ -110,11 +112,11 @@
         self.text = text
 
 
-def _fault(text: str) -> tuple[str, str]:
-    """Return the key that a checker's message names, and what is wrong."""
+def _split_validation_message(text: str) -> tuple[str, str]:
+    """Split a msgspec validation message into the key and the problem."""
     wrong, _, place = text.partition(' - at `$')
     key = place.strip('.`')
-    missing = _MISSING.fullmatch(wrong)
+    missing = _MISSING_FIELD.fullmatch(wrong)
     if missing is not None:
         key = f'{key}.{missing[1]}'.strip('.')
         wrong = 'is required'
@@ -126,7 +128,7 @@
     return f'{path}: {key or "the file"}: {wrong} (example: {wanted})'
 
 
-_MISSING = re.compile('Object missing required field `(.+)`')
+_MISSING_FIELD = re.compile('Object missing required field `(.+)`')
 _EXAMPLES = {  # noqa: WPS407
     'node': 'node: "front-a-1"',
     'zone': 'zone: "walu-a"',
@@ -143,12 +145,12 @@
 
 def _address(key: str, text: str) -> Listening:
     try:
-        return listening(text)
+        return parse_address(text)
     except ValueError as exc:
-        raise _FaultError(key, str(exc)) from exc
+        raise _InvalidValueError(key, str(exc)) from exc
 
 
-def _options(raw: _Whole) -> Options:
+def _options(raw: _SettingsFile) -> Options:
     bounds = raw.bounds
     first_port = raw.port_range[0]
     return Options(
@@ -158,8 +160,8 @@
         front=_address('listen.front', raw.listen.front),
         ready=_address('listen.ready', raw.listen.ready),
         locate=_address('listen.directory', raw.listen.directory),
-        peer=Listening(raw.ip, first_port + _PEER_PORT),
-        metrics=Listening(raw.ip, first_port + _METRICS_PORT),
+        peer=Listening(raw.ip, first_port + _PEER_PORT_OFFSET),
+        metrics=Listening(raw.ip, first_port + _METRICS_PORT_OFFSET),
         store=StoreOptions(
             _address('platform.address', raw.platform.address),
             raw.platform.ttl_min_ms / _MILLI,
--- a/packages/platform/src/tallyhall_platform/store.py
+++ b/packages/platform/src/tallyhall_platform/store.py
@@ -1,8 +1,8 @@
-"""Client of the platform's metadata store, the only one there is.
+"""Client of the platform's metadata store.
 
-Every call has a time limit; a connection on which an answer is missing is
-closed, since nothing more comes on it. Nothing is retried here: only the
-caller knows whether a call may be made twice.
+Every call has a timeout, after which its connection is closed and not used
+again. Nothing is retried here, since only the caller knows whether a call may
+be repeated.
 """
 
 from __future__ import annotations
@@ -21,42 +21,42 @@
 from tallyhall_edge.messages import head_bytes
 from tallyhall_edge.whole import WholeAnswer, read_whole
 
-from .calls import Call, CallCause, CallCounts, CallKind, CallOutcome
+from .calls import CallCause, CallCounts, CallKind, CallOutcome, StoreCall
 from .errors import (
     ConditionFailedError,
     DecodeError,
-    HistoryGoneError,
+    HistoryCompactedError,
     LeaseEndedError,
     StoreLimitedError,
     StoreRefusedError,
     StoreUnavailableError,
 )
-from .parse import Part, parsed
-
-# A store that works answers in milliseconds; one that is slow by design of
-# its operators answers within a second.
-_CALL_S = 1.0
-_CONNECT_S = 0.5
-# What a watch may take beyond the time that it was asked to wait.
-_WATCH_EXTRA_S = 0.5
+from .parse import KebabStruct, parse_json
+
+# A healthy store answers in milliseconds; one that its operators slow down
+# deliberately answers within a second.
+_CALL_TIMEOUT_S = 1.0
+_CONNECT_TIMEOUT_S = 0.5
+# Time that a watch may take beyond its requested wait.
+_WATCH_GRACE_S = 0.5
 _MILLI = 1000
-# Each change in the answer to a watch names its key.
+# Every change in the answer to a watch has this field.
 _KEY_FIELD = b'"key"'
 _OK = 200
 _NOT_FOUND = 404
 _GONE = 410
 _CONDITION_FAILED = 412
-_LIMITED = 429
-_REFUSED = 503
+_TOO_MANY_REQUESTS = 429
+_SERVICE_UNAVAILABLE = 503
 
 
 _Model = TypeVar('_Model')
-_NOTHING: Mapping[str, int] = types.MappingProxyType({})
+_NO_CONDITIONS: Mapping[str, int] = types.MappingProxyType({})
 _NO_LEASE = 0
 
 
-class _Row(Part, frozen=True):
-    """A key with its value, or with the sign that it is gone."""
+class _Row(KebabStruct, frozen=True):
+    """A key with its value, or marked as deleted."""
 
     key: str
     revision: int
@@ -64,27 +64,27 @@
     deleted: bool = False
 
 
-class _Page(Part, frozen=True):
+class _Page(KebabStruct, frozen=True):
     as_of: int
     items: tuple[_Row, ...]  # noqa: WPS110
     more_pages: bool = False
 
 
-class _News(Part, frozen=True):
+class _WatchAnswer(KebabStruct, frozen=True):
     as_of: int
     events: tuple[_Row, ...]
 
 
-class _Lease(Part, frozen=True):
+class _LeaseAnswer(KebabStruct, frozen=True):
     lease: int
 
 
-class _Written(Part, frozen=True):
+class _WriteAnswer(KebabStruct, frozen=True):
     revision: int
 
 
 class Item(msgspec.Struct, frozen=True):
-    """A key with its value; the revision is that of its last change."""
+    """A key with its value and the revision of its last change."""
 
     key: str
     content: bytes
@@ -92,7 +92,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A change of one key; `content` is None where it was deleted."""
+    """A change of one key; `content` is None if it was deleted."""
 
     key: str
     content: bytes | None
@@ -100,7 +100,7 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """A value for a key that stands at a revision, 0 for one that is new."""
+    """A value to write if its key is at `revision`, 0 if it is new."""
 
     key: str
     content: bytes
@@ -108,54 +108,54 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """All items below a prefix; nothing before `revision` is missing."""
+    """All items under a prefix, with every change up to `revision`."""
 
     entries: tuple[Item, ...]
     revision: int
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """Changes after a revision, and where to go on from."""
+    """Changes after a revision, and the revision to continue from."""
 
     changes: tuple[Change, ...]
     revision: int
 
 
 class StoreClient:
-    """Calls on one kept connection, one at a time."""
+    """Makes calls on one kept-alive connection, one at a time."""
 
     def __init__(
         self,
         address: Listening,
         counts: CallCounts | None = None,
     ) -> None:
-        """Connect at the first call; count calls in `counts`."""
-        # Why the next call is made, for the counts.
+        """Connect on the first call; count calls in `counts`."""
+        # The cause under which the next calls are counted.
         self.cause = CallCause.start
         self._address = address
         self._counts = counts or CallCounts()
         self._conn: ClientConnection | None = None
-        self._turn = asyncio.Lock()
-        self._proved_at = float('-inf')
+        self._call_lock = asyncio.Lock()
+        self._last_worked_at = float('-inf')
 
     @property
-    def proved_at(self) -> float:
-        """Return when the connection of the last call was last known to work.
+    def last_worked_at(self) -> float:
+        """Return when the connection of the last call last worked.
 
-        That is its last answer, or the moment at which it was opened; a lost
-        call says nothing about connections that are opened later. In seconds
-        of the loop's clock.
+        This is the time of its last answer, or the time at which it was
+        opened, in seconds of the loop's clock. A failed call does not show
+        that connections opened later fail too.
         """
-        return self._proved_at
+        return self._last_worked_at
 
     def idle_s(self) -> float:
-        """Return how long nothing was heard on a kept connection, else 0."""
+        """Return how long the open connection has been idle, 0 without one."""
         if self._conn is None or not self._conn.is_open:
             return 0
-        return asyncio.get_running_loop().time() - self._proved_at
+        return asyncio.get_running_loop().time() - self._last_worked_at
 
     async def snapshot(self, prefix: str) -> Snapshot:
-        """Return all items below a prefix, page by page."""
+        """Read all items under a prefix, page by page."""
         found: list[Item] = []
         revision = 0
         after = ''
@@ -169,29 +169,29 @@
                 _Page,
             )
             found.extend(
-                Item(row.key, _content(row.value), row.revision)
+                Item(row.key, _decode_value(row.value), row.revision)
                 for row in page.items
             )
-            # Pages are read one after another: only what stood at the first
-            # one is certain to be in all of them.
+            # Pages are read one after another, so only changes up to the
+            # revision of the first are certain to be included.
             revision = revision or page.as_of
             if not page.more_pages or not page.items:
                 return Snapshot(tuple(found), revision)
             after = found[-1].key
 
     async def get(self, key: str) -> Item | None:
-        """Return the item of a key, None where there is none."""
+        """Return the item of a key, None if the key does not exist."""
         path = f'/kv-key?{urlencode({"key": key})}'
         answer = await self._call(CallKind.get, 'GET', path, None)
         if answer.status == _NOT_FOUND:
             return None
-        row = _checked(answer, _Row)
-        return Item(row.key, _content(row.value), row.revision)
+        row = _decode_answer(answer, _Row)
+        return Item(row.key, _decode_value(row.value), row.revision)
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Changes:
         """Return changes after a revision, or none after `wait_s`.
 
-        Raises HistoryGoneError where the store no longer holds them.
+        Raises HistoryCompactedError if the store no longer has them.
         """
         wait_ms = str(int(wait_s * _MILLI))
         query = urlencode(
@@ -200,51 +200,51 @@
         answer = await self._read(
             CallKind.watch,
             f'/kv-watch?{query}',
-            _News,
-            max(wait_s + _WATCH_EXTRA_S, _CALL_S),
+            _WatchAnswer,
+            max(wait_s + _WATCH_GRACE_S, _CALL_TIMEOUT_S),
         )
-        changes = tuple(_change(row) for row in answer.events)
+        changes = tuple(_to_change(row) for row in answer.events)
         return Changes(changes, answer.as_of)
 
     async def put(self, key: str, content: bytes, lease: int) -> None:
-        """Write a key under a lease, whatever it holds now."""
-        await self._write(key, content, lease, _NOTHING)
+        """Write a key under a lease unconditionally."""
+        await self._write(key, content, lease, _NO_CONDITIONS)
 
     async def create(self, key: str, lease: int) -> None:
-        """Write an empty key that does not exist yet.
+        """Create a key with an empty value.
 
-        Raises ConditionFailedError where it exists.
+        Raises ConditionFailedError if it exists.
         """
         await self._write(key, b'', lease, {key: 0})
 
     async def swap(
         self,
         write: Write,
-        beside: Mapping[str, int] = _NOTHING,
+        also_expected: Mapping[str, int] = _NO_CONDITIONS,
     ) -> int:
-        """Write a key where it stands at a revision; return its new one.
+        """Write a key if its revision is as expected; return the new one.
 
-        beside: other keys that must stand at their revisions. Raises
-        ConditionFailedError where one of them does not.
+        also_expected: revisions that other keys must have. Raises
+        ConditionFailedError if any revision differs.
         """
-        expected = {write.key: write.revision, **beside}
+        expected = {write.key: write.revision, **also_expected}
         answer = await self._write(
             write.key,
             write.content,
             _NO_LEASE,
             expected,
         )
-        return _checked(answer, _Written).revision
+        return _decode_answer(answer, _WriteAnswer).revision
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Return a new lease."""
+        """Create a lease; return its id."""
         answer = await self._call(
             CallKind.lease,
             'POST',
             '/kv-lease',
             {'ttl-ms': int(ttl_s * _MILLI)},
         )
-        return _checked(answer, _Lease).lease
+        return _decode_answer(answer, _LeaseAnswer).lease
 
     async def keep_lease(self, lease: int) -> None:
         """Renew a lease; raise LeaseEndedError."""
@@ -255,14 +255,14 @@
         _check_status(answer)
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease and remove its keys; one that has ended is no error."""
+        """End a lease and delete its keys; no error if it has ended."""
         path = f'/kv-lease-end/{lease}'
         answer = await self._call(CallKind.end, 'DELETE', path, None)
         if answer.status != _NOT_FOUND:
             _check_status(answer)
 
     def move(self, address: Listening) -> None:
-        """Use another address from the next call on."""
+        """Use another address, from the next call on."""
         if address != self._address:
             self._address = address
             self.close()
@@ -278,12 +278,12 @@
         kind: CallKind,
         path: str,
         model: type[_Model],
-        wait_s: float = _CALL_S,
+        wait_s: float = _CALL_TIMEOUT_S,
     ) -> _Model:
         answer = await self._call(kind, 'GET', path, None, wait_s)
         if answer.status == _GONE:
-            raise HistoryGoneError(path)
-        return _checked(answer, model)
+            raise HistoryCompactedError(path)
+        return _decode_answer(answer, model)
 
     async def _write(
         self,
@@ -292,7 +292,7 @@
         lease: int,
         expected: Mapping[str, int],
     ) -> WholeAnswer:
-        """Write a key where all that is expected stands at its revision."""
+        """Write a key if all expected keys have the given revisions."""
         text = base64.b64encode(content).decode()
         body = {
             'expected-rev': [
@@ -304,9 +304,9 @@
         }
         answer = await self._call(CallKind.write, 'POST', '/kv-txn', body)
         if answer.status == _CONDITION_FAILED:
-            raise ConditionFailedError('the keys have changed')
+            raise ConditionFailedError('a key is not at its expected revision')
         if answer.status == _NOT_FOUND:
-            raise LeaseEndedError('the lease of a write has ended')
+            raise LeaseEndedError('the lease of the write has ended')
         _check_status(answer)
         return answer
 
@@ -316,7 +316,7 @@
         method: str,
         path: str,
         body: dict[str, Any] | None,
-        wait_s: float = _CALL_S,
+        wait_s: float = _CALL_TIMEOUT_S,
     ) -> WholeAnswer:
         raw = b'' if body is None else msgspec.json.encode(body)
         headers = (
@@ -325,7 +325,7 @@
             (b'Content-Length', b'%d' % len(raw)),
         )
         line = f'{method} {quote(path, safe="/?=&%-_.")} HTTP/1.1'.encode()
-        async with self._turn:
+        async with self._call_lock:
             outcome = CallOutcome.lost
             try:
                 answer = await self._exchange(
@@ -334,13 +334,13 @@
                 )
                 outcome = _outcome(kind, answer)
             finally:
-                self._counts.note(Call(kind, self.cause, outcome))
+                self._counts.note(StoreCall(kind, self.cause, outcome))
             return answer
 
     async def _exchange(self, raw: bytes, wait_s: float) -> WholeAnswer:
         try:
             async with asyncio.timeout(wait_s):
-                conn = await self._connected()
+                conn = await self._connect()
                 answer = await read_whole(conn, raw)
         except (EdgeError, TimeoutError) as exc:
             self.close()
@@ -348,28 +348,28 @@
         except BaseException:
             self.close()
             raise
-        self._proved_at = asyncio.get_running_loop().time()
+        self._last_worked_at = asyncio.get_running_loop().time()
         if not conn.reusable:
             self.close()
         return answer
 
-    async def _connected(self) -> ClientConnection:
+    async def _connect(self) -> ClientConnection:
         conn = self._conn
         if conn is None or not conn.is_open:
-            self._proved_at = asyncio.get_running_loop().time()
+            self._last_worked_at = asyncio.get_running_loop().time()
             conn = await ClientConnection.open(
                 self._address.host,
                 self._address.port,
-                _CONNECT_S,
+                _CONNECT_TIMEOUT_S,
             )
             self._conn = conn
         return conn
 
 
 def _outcome(kind: CallKind, answer: WholeAnswer) -> CallOutcome:
-    if answer.status == _LIMITED:
+    if answer.status == _TOO_MANY_REQUESTS:
         return CallOutcome.limited
-    if answer.status == _REFUSED:
+    if answer.status == _SERVICE_UNAVAILABLE:
         return CallOutcome.refused
     if kind is CallKind.watch and _KEY_FIELD in answer.body:
         return CallOutcome.changed
@@ -377,31 +377,31 @@
 
 
 def _check_status(answer: WholeAnswer) -> None:
-    if answer.status == _LIMITED:
+    if answer.status == _TOO_MANY_REQUESTS:
         raise StoreLimitedError(f'status {answer.status}')
-    if answer.status == _REFUSED:
+    if answer.status == _SERVICE_UNAVAILABLE:
         raise StoreRefusedError(f'status {answer.status}')
     if answer.status != _OK:
         raise StoreUnavailableError(f'status {answer.status}')
 
 
-def _checked(answer: WholeAnswer, model: type[_Model]) -> _Model:
+def _decode_answer(answer: WholeAnswer, model: type[_Model]) -> _Model:
     _check_status(answer)
     try:
-        return parsed(answer.body, model)
+        return parse_json(answer.body, model)
     except DecodeError as exc:
-        raise StoreUnavailableError(f'no answer in its form: {exc}') from exc
+        raise StoreUnavailableError(f'malformed answer: {exc}') from exc
 
 
-def _change(row: _Row) -> Change:
-    content = None if row.deleted else _content(row.value)
+def _to_change(row: _Row) -> Change:
+    content = None if row.deleted else _decode_value(row.value)
     return Change(row.key, content, row.revision)
 
 
-def _content(text: str) -> bytes:
-    """Return a value, without bytes where it cannot be read.
+def _decode_value(text: str) -> bytes:
+    """Decode a base64 value; return b'' if it is invalid.
 
-    The value of one key must not keep those of all others from being read.
+    One invalid value must not prevent all others from being read.
     """
     try:
         return base64.b64decode(text, validate=True)
--- a/packages/platform/src/tallyhall_platform/upstreams.py
+++ b/packages/platform/src/tallyhall_platform/upstreams.py
@@ -1,13 +1,13 @@
-"""Which upstreams the store names, by the newest word of each.
+"""The upstreams registered in the store, by their newest valid entry.
 
-An upstream may start again under its id, and what it wrote before may reach
-the store after that: writes are delayed, and leases outlast processes. So a
-start is told from the one before by its time, and the reports of one start
-by their number; what is older than what is known says nothing.
+An upstream may restart under the same id, and an entry that it wrote before
+may reach the store after the restart: writes can be delayed, and leases
+outlive processes. Entries are therefore ordered by start time, then by their
+sequence number within one run, and older ones are ignored.
 
-Others may write to the store as well. An entry that is not whole names no
-upstream, and nothing that it named before: it may have replaced the only
-sign of an upstream that has gone.
+Other programs may write to the store too. An invalid entry also removes the
+upstream that its key held before, since it may have overwritten the removal
+of that upstream.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
     """The entries of upstreams, by key."""
 
     def __init__(self) -> None:
-        """Start without entries."""
+        """Create an empty registry."""
         self._entries: dict[str, UpstreamEntry] = {}
 
     def __contains__(self, key: str) -> bool:
-        """Return whether a key names an upstream."""
+        """Return whether a key holds a valid upstream entry."""
         return key in self._entries
 
     def all(self) -> tuple[Upstream, ...]:
-        """Return all upstreams that are named."""
+        """Return all registered upstreams."""
         return tuple(entry.upstream for entry in self._entries.values())
 
     def take(self, key: str, raw: bytes) -> None:
-        """Take what a key holds; raise DecodeError where it names nothing."""
+        """Store the entry of a key; remove it and raise DecodeError if bad."""
         try:
             entry = decode_upstream(key.removeprefix(UPSTREAM_PREFIX), raw)
         except DecodeError:
             self.drop(key)
             raise
         known = self._entries.get(key)
-        if known is None or _order(known) <= _order(entry):
+        if known is None or _recency(known) <= _recency(entry):
             self._entries[key] = entry
 
     def drop(self, key: str) -> bool:
-        """Take that a key is gone; return whether it named an upstream."""
+        """Remove the entry of a key; return whether there was one."""
         return self._entries.pop(key, None) is not None
 
 
-def _order(entry: UpstreamEntry) -> tuple[int, int]:
+def _recency(entry: UpstreamEntry) -> tuple[int, int]:
     return entry.upstream.started_ms, entry.serial
--- a/tests/platform/test_absence_times.py
+++ b/tests/platform/test_absence_times.py
@@ -22,7 +22,7 @@
     absence = Absence(_HEARTBEAT_S, _CONTACT_S)
     for now in range(10, 20):
         absence.answered(now)
-        assert not absence.doubts(now)
+        assert not absence.holds_removals(now)
 
 
 def test_the_first_answer_of_all_brings_no_doubt() -> None:
@@ -30,23 +30,23 @@
     absence.failed(1)
     absence.failed(5)
     absence.answered(9)
-    assert not absence.doubts(9)
+    assert not absence.holds_removals(9)
 
 
 def test_a_cut_call_brings_no_doubt() -> None:
     absence = _lost(10, 10.35)
     absence.answered(12)
-    assert not absence.doubts(12)
+    assert not absence.holds_removals(12)
 
 
 def test_entries_cannot_have_lapsed_within_two_heartbeats() -> None:
     absence = _lost(10, 11.9)
     absence.answered(12.1)
-    assert not absence.doubts(12.1)
+    assert not absence.holds_removals(12.1)
     # Upstreams keep to their interval only about.
     absence = _lost(10, 11.9)
     absence.answered(12.2)
-    assert absence.doubts(12.2)
+    assert absence.holds_removals(12.2)
 
 
 def test_silence_counts_from_the_last_answer() -> None:
@@ -55,22 +55,22 @@
     absence.answered(10)
     absence.failed(11.2)
     absence.answered(13.8)
-    assert absence.doubts(13.8)
+    assert absence.holds_removals(13.8)
 
 
 def test_the_doubt_ends_after_the_entries_are_back() -> None:
     absence = _lost(10, 19.9)
     absence.answered(20)
-    assert absence.doubts(22.19)
-    assert not absence.doubts(22.2)
+    assert absence.holds_removals(22.19)
+    assert not absence.holds_removals(22.2)
 
 
 def test_the_doubt_ends_before_the_bound_on_contact() -> None:
     # The way may be whole since just after 44.5.
     absence = _lost(34, 44.5)
     absence.answered(45.75)
-    assert absence.doubts(47.29)
-    assert not absence.doubts(47.3)
+    assert absence.holds_removals(47.29)
+    assert not absence.holds_removals(47.3)
 
 
 def test_a_bound_that_has_passed_leaves_no_doubt() -> None:
@@ -78,16 +78,16 @@
     absence.answered(10)
     absence.failed(19)
     absence.answered(19.4)
-    assert not absence.doubts(19.4)
+    assert not absence.holds_removals(19.4)
 
 
 def test_a_cut_call_does_not_extend_a_doubt() -> None:
     absence = _lost(10, 19.9)
     absence.answered(20)
     absence.failed(21)
-    assert not absence.doubts(22.2)
+    assert not absence.holds_removals(22.2)
     absence.answered(22.1)
-    assert not absence.doubts(22.2)
+    assert not absence.holds_removals(22.2)
 
 
 def test_a_store_that_goes_again_keeps_the_doubt() -> None:
@@ -95,10 +95,10 @@
     absence.answered(20)
     absence.failed(20.5)
     absence.failed(21.1)
-    assert absence.doubts(23)
+    assert absence.holds_removals(23)
     absence.answered(21.8)
-    assert absence.doubts(23.85)
-    assert not absence.doubts(23.91)
+    assert absence.holds_removals(23.85)
+    assert not absence.holds_removals(23.91)
 
 
 def test_a_doubt_that_is_over_does_not_come_back() -> None:
@@ -107,9 +107,9 @@
     absence.answered(23)
     absence.failed(23)
     absence.failed(23.6)
-    assert not absence.doubts(24)
+    assert not absence.holds_removals(24)
     absence.answered(24)
-    assert not absence.doubts(24)
+    assert not absence.holds_removals(24)
 
 
 def test_a_store_that_answers_others_was_not_away() -> None:
@@ -118,7 +118,7 @@
         absence.alive(heard_at)
         absence.failed(heard_at)
     absence.answered(20)
-    assert not absence.doubts(20)
+    assert not absence.holds_removals(20)
 
 
 def test_what_others_heard_late_does_not_hide_the_silence() -> None:
@@ -126,4 +126,4 @@
     absence.alive(19)
     absence.alive(18)
     absence.answered(20)
-    assert absence.doubts(20)
+    assert absence.holds_removals(20)
