--- a/packages/transport/src/tallyhall_transport/__init__.py
+++ b/packages/transport/src/tallyhall_transport/__init__.py
@@ -1,1 +1,5 @@
-"""Messages between instances: batches over unary gRPC calls."""
+"""Messages between instances over gRPC.
+
+sender.py and server.py exchange batches in unary calls; peers.py keeps a
+stream from each instance to each of its peers.
+"""
--- a/packages/transport/src/tallyhall_transport/errors.py
+++ b/packages/transport/src/tallyhall_transport/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the transport layer; grpc's never leave it."""
+"""Exceptions of the transport layer, which raises none of gRPC's."""
 
 from __future__ import annotations
 
 
 class TransportError(Exception):
-    """The transport could not be started."""
+    """The server cannot listen, or a peer does not answer."""
--- a/packages/transport/src/tallyhall_transport/loading.py
+++ b/packages/transport/src/tallyhall_transport/loading.py
@@ -1,7 +1,7 @@
-"""Loads the library of the streams once callers can be answered.
+"""Imports the gRPC library in a thread, once callers can be answered.
 
-It takes 50 ms of processor time, a third of a start. A thread loads it, so
-that callers are answered meanwhile.
+The import takes 50 ms of processor time, a third of the start of an instance.
+In a thread it does not keep callers from being answered.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 if TYPE_CHECKING:
     from .streams import Streams
 
-# The library is loaded in turns of this length, in seconds: each wake-up of the
-# loop waits for the end of one, 0.8 ms in place of 1.6 with the interpreter's
-# usual 5 ms (mean of 38 to 57 wake-ups, three runs each).
-_LOADING_TURN_S = 0.0005
-# Put back by whoever has loaded it, also where two load it at a time.
-_USUAL_TURN_S = sys.getswitchinterval()
-_STREAMS = f'{__package__}.streams'
+# Switch interval of the interpreter during the import, in seconds. Each wake-up
+# of the event loop waits for the importing thread to yield: 0.8 ms instead of
+# 1.6 ms with the default of 5 ms (mean of 38 to 57 wake-ups, three runs each).
+_LOADING_SWITCH_INTERVAL_S = 0.0005
+# Read once, so that the default is restored even if two imports overlap.
+_DEFAULT_SWITCH_INTERVAL_S = sys.getswitchinterval()
+_STREAMS_MODULE = f'{__package__}.streams'
 
 
 async def load_streams() -> type[Streams]:
-    """Return the class of the streams, which the first call loads."""
-    if _STREAMS in sys.modules:
-        return _imported()
+    """Return the Streams class, importing it on the first call."""
+    if _STREAMS_MODULE in sys.modules:
+        return _import_streams()
     loop = asyncio.get_running_loop()
-    sys.setswitchinterval(_LOADING_TURN_S)
+    sys.setswitchinterval(_LOADING_SWITCH_INTERVAL_S)
     try:
-        return await loop.run_in_executor(None, _imported)
+        return await loop.run_in_executor(None, _import_streams)
     finally:
-        sys.setswitchinterval(_USUAL_TURN_S)
+        sys.setswitchinterval(_DEFAULT_SWITCH_INTERVAL_S)
 
 
-def _imported() -> type[Streams]:
+def _import_streams() -> type[Streams]:
     from .streams import Streams as Loaded  # noqa: PLC0415, WPS433
 
     return Loaded
--- a/packages/transport/src/tallyhall_transport/peer.py
+++ b/packages/transport/src/tallyhall_transport/peer.py
@@ -1,4 +1,4 @@
-"""Another instance, as seen from one, and where it is reached."""
+"""What an instance knows of another one, and its address."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Peer(msgspec.Struct):
-    """Another instance as seen through its batches."""
+    """The state of another instance, learned from its batches."""
 
     name: str
     incarnation: str = ''
@@ -18,28 +18,30 @@
     question_us: int = 0
     answered_at: float = -1
     leaving: bool = False
-    # Since when a stream to it is kept, None without one.
+    # When the stream to it was opened, None without one.
     linked_at: float | None = None
-    # Instances that this one hears, as it says.
+    # Number of instances that it reports to hear directly, with itself.
     hears: int = 0
-    # Whether it knows the use of all; until then it is told everything.
+    # Whether it knows the use of quotas by all instances; if not, it is sent
+    # all of it.
     knows_use: bool = False
     told: dict[str, float] = msgspec.field(default_factory=dict)
-    # Of quotas: what was returned as told last, and those told as used much.
+    # Last returned amounts that were sent, by workspace, and the workspaces
+    # that were reported to it as highly used.
     told_returned: dict[str, float] = msgspec.field(default_factory=dict)
     told_high: set[str] = msgspec.field(default_factory=set)
 
     def forget_told(self) -> None:
-        """Take that a new stream begins: all that is told is told again."""
+        """Forget what was sent, so that a new stream sends all of it again."""
         self.told.clear()
         self.told_returned.clear()
         self.told_high.clear()
 
 
 class PeerPlace(msgspec.Struct, frozen=True):
-    """Where a peer is reached, and what processor time it has, in cores.
+    """A peer's address and its processor time in cores.
 
-    serves: whether callers are sent there, so that it may own services.
+    serves: whether callers are sent to it; only then may it own services.
     """
 
     address: str
--- a/packages/transport/src/tallyhall_transport/peer_codec.py
+++ b/packages/transport/src/tallyhall_transport/peer_codec.py
@@ -1,10 +1,10 @@
-"""Peer messages to and from the types of the decisions.
+"""Converts between peer messages and the types of tallyhall_dispatch.
 
-Steady clocks of two instances have nothing in common, so points in time
-travel as durations from the moment of sending.
+Monotonic clocks of two instances are not comparable, so points in time are
+sent as durations relative to the sending of the message.
 
-Messages are filled where a batch made them, so that nothing here needs the
-library of their types, which a starting instance loads late.
+The encoders fill in messages that a batch has created, so that this module
+does not import the generated code, which a starting instance loads late.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
     from .generated import peers_pb2
 
 _MILLI = 1000
-_NO_FIRST = -1
-# A longer wait is told as an hour, in milliseconds.
-_LONGEST_MS = 3_600_000
+_NO_FIRST_EVENT = -1
+# Longer waits are sent as one hour, in milliseconds.
+_MAX_WAIT_MS = 3_600_000
 
 
 def fill_job(ask: peers_pb2.Ask, job: Job, now: float) -> None:
-    """Write a job as it is asked for."""
+    """Encode a job for which an upstream is requested."""
     ask.key = job.key
     ask.service = job.service
     ask.zone = job.zone
@@ -46,7 +46,7 @@
 
 
 def decode_job(ask: peers_pb2.Ask, now: float) -> Job:
-    """Return a job that another instance asks for."""
+    """Decode a job for which another instance requests an upstream."""
     return Job(
         key=ask.key,
         service=ask.service,
@@ -70,18 +70,18 @@
 
 
 def fill_give_up(give_up: peers_pb2.GiveUp, given_up: GivenUp) -> None:
-    """Write that a job cannot be answered in time."""
+    """Encode the decision that a job cannot be answered in time."""
     give_up.key = given_up.key
     give_up.retry_after_ms = int(given_up.retry_after_s * _MILLI)
     outlook = given_up.outlook
-    give_up.wait_ms = min(_LONGEST_MS, int(outlook.wait_s * _MILLI))
+    give_up.wait_ms = min(_MAX_WAIT_MS, int(outlook.wait_s * _MILLI))
     give_up.ahead = outlook.ahead
     give_up.rate = outlook.rate
     give_up.free = outlook.free
 
 
 def decode_give_up(give_up: peers_pb2.GiveUp) -> GivenUp:
-    """Return what another instance decided."""
+    """Decode another instance's decision to give up a job."""
     return GivenUp(
         give_up.key,
         give_up.retry_after_ms / _MILLI,
@@ -101,13 +101,13 @@
     upstream: str,
     report: RunReport,
 ) -> None:
-    """Write how a send ended."""
+    """Encode the result of a request that was sent to an upstream."""
     done.key = key
     done.service = service
     done.upstream = upstream
     done.ending = report.ending.value
     done.total_ms = int(report.total_s * _MILLI)
-    done.first_ms = _NO_FIRST
+    done.first_ms = _NO_FIRST_EVENT
     if report.first_s is not None:
         done.first_ms = int(report.first_s * _MILLI)
     done.events = report.events
@@ -116,9 +116,9 @@
 
 
 def decode_done(done: peers_pb2.Done) -> RunReport:
-    """Return what a send at another instance showed."""
+    """Decode the result of a request that another instance sent."""
     first_s = None
-    if done.first_ms != _NO_FIRST:
+    if done.first_ms != _NO_FIRST_EVENT:
         first_s = done.first_ms / _MILLI
     return RunReport(
         Ending(done.ending),
--- a/packages/transport/src/tallyhall_transport/peers.py
+++ b/packages/transport/src/tallyhall_transport/peers.py
@@ -1,12 +1,12 @@
-"""Streams between entry instances: one for each ordered pair.
-
-The sender of a pair opens the stream and keeps it; what is queued within
-one turn of the loop leaves as one batch, and a batch without content is the
-heartbeat. Every batch carries a question, the sender's steady time, and the
-newest question of the other side. The answer to a question bounds how old
-the other side's statements are, and shows that both streams work: where no
-answer comes although the peer should be there, the stream is opened anew,
-since a connection may go silent for good without a reset.
+"""Streams between entry instances, one for each ordered pair.
+
+The sender of a pair opens the stream and keeps it open. Whatever is queued
+within one iteration of the event loop is sent as one batch; an empty batch is
+a heartbeat. Every batch carries a timestamp, the sender's monotonic time, and
+echoes the newest timestamp received from the peer. An echo bounds the age of
+the peer's information and shows that both streams work. If a registered peer
+stops echoing, the stream is reopened, since a connection may stop delivering
+without ever being reset.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
     from .generated import peers_pb2
     from .streams import Outbox, Streams
 
-# Beats after which a peer that was not heard counts as lost.
-_LOST_BEATS = 3.3
-# A stream whose questions stay unanswered for this many beats is opened anew;
-# the slowest sound way takes 30 ms.
-_SILENT_BEATS = 5.4
+# Heartbeat intervals without a batch after which a peer counts as lost.
+_LOST_HEARTBEATS = 3.3
+# Heartbeat intervals without an echo after which a stream is reopened; the
+# slowest working connection takes 30 ms.
+_SILENT_HEARTBEATS = 5.4
 _MICRO = 1_000_000
 OnBatch = Callable[[Peer, 'peers_pb2.Batch'], None]
 FillBatch = Callable[[Peer, 'peers_pb2.Batch'], None]
 
 
 class PeerLinks:
-    """The streams of one instance to all others."""
+    """The streams of one instance to its peers."""
 
     def __init__(
         self,
@@ -46,16 +46,18 @@
         on_lost: Callable[[Peer, Exception], None],
         on_opened: Callable[[Peer], None],
     ) -> None:
-        """Call `on_batch` for what comes; `fill` adds to what leaves."""
+        """Pass received batches to `on_batch`; `fill` completes sent ones."""
         self.on_lost = on_lost
         self.on_opened = on_opened
         self.own_cores: float = 0
-        # Instances whose use of quotas is known here, with this one.
+        # Number of instances whose use of quotas is known here, with this one.
         self.hears = 1
-        # Of these, the ones that this one hears itself. Only they are told
-        # on: hubs that repeat each other's number never see it shrink.
+        # Those of them that this instance hears directly. Only this number is
+        # sent to peers: if hubs repeated each other's totals, these would
+        # never shrink.
         self.hears_directly = 1
-        # Whether this instance hears all others of a large fleet.
+        # Whether this instance is a hub, which hears all others of a large
+        # fleet.
         self.is_hub = False
         self._name = name
         self._incarnation = incarnation
@@ -63,48 +65,49 @@
         self._fill = fill
         self._loop = asyncio.get_running_loop()
         self._streams: Streams | None = None
-        self._places: dict[str, PeerPlace] = {}
-        self._note_places()
+        self._endpoints: dict[str, PeerPlace] = {}
+        self._update_derived_values()
         self._outboxes: dict[str, Outbox] = {}
         self._peers: dict[str, Peer] = {}
 
     @property
     def peers(self) -> Mapping[str, Peer]:
-        """Return all peers that count or were heard."""
+        """Return all peers that are registered or were heard."""
         return self._peers
 
     def serves(self, name: str) -> bool:
         """Return whether callers are sent to a peer."""
-        place = self._places.get(name)
-        return place is None or place.serves
+        endpoint = self._endpoints.get(name)
+        return endpoint is None or endpoint.serves
 
     def cores(self, name: str) -> float:
-        """Return the processor time that an instance has, 0 if unknown."""
+        """Return an instance's processor time in cores, 0 if unknown."""
         if name == self._name:
             return self.own_cores
-        place = self._places.get(name)
-        return 0 if place is None else place.cores
+        endpoint = self._endpoints.get(name)
+        return 0 if endpoint is None else endpoint.cores
 
     @property
     def tells_on(self) -> bool:
-        """Return whether others hear of each other through this instance."""
+        """Return whether this instance relays between other instances."""
         return self.is_hub and not is_mesh(self.instances)
 
     @property
     def instances(self) -> int:
-        """Return how many instances count and have a place, with this one."""
-        return len(self._places) + 1
+        """Return the number of registered instances, with this one."""
+        return len(self._endpoints) + 1
 
     def answers(self, peer: Peer, now: float) -> bool:
-        """Return whether a peer is heard and hears this instance."""
+        """Return whether a peer and this instance hear each other."""
         if now - peer.heard_at >= self.lost_s:
             return False
         return now - peer.answered_at < 2 * self.lost_s
 
     async def listen(self, address: str, read_state: ReadState) -> None:
-        """Open the address; raise OSError where it is taken.
+        """Listen on the address; raise OSError if it is in use.
 
-        Until then no stream is kept, and requests are decided alone.
+        Until this returns, the instance has no streams and decides on requests
+        without its peers.
         """
         loaded = await load_streams()
         streams = loaded(self)
@@ -112,30 +115,33 @@
         self.use(streams)
 
     def use(self, streams: Streams) -> None:
-        """Keep streams by these from now on."""
+        """Open streams through this object from now on."""
         self._streams = streams
 
-    def take_peers(self, places: Mapping[str, PeerPlace]) -> None:
-        """Take names and places of all others."""
-        self._places = dict(places)
-        self._note_places()
+    def take_peers(self, endpoints: Mapping[str, PeerPlace]) -> None:
+        """Replace the registered peers."""
+        self._endpoints = dict(endpoints)
+        self._update_derived_values()
         for name, outbox in tuple(self._outboxes.items()):
-            if name not in places or places[name].address != outbox.address:
-                self._unlink(name)
-        for gone in self._peers.keys() - places.keys():
+            if (
+                name not in endpoints
+                or endpoints[name].address != outbox.address
+            ):
+                self._close_stream(name)
+        for gone in self._peers.keys() - endpoints.keys():
             self._peers.pop(gone)
 
     def link(self, names: frozenset[str]) -> None:
-        """Keep streams to these peers and no others."""
+        """Keep streams open to these peers and close all others."""
         if self._streams is None:
             return
         for name in self._outboxes.keys() - names:
-            self._unlink(name)
+            self._close_stream(name)
         for name in names - self._outboxes.keys():
-            self._link(name)
+            self._open_stream(name)
 
     def outgoing(self, name: str, *, urgent: bool) -> peers_pb2.Batch | None:
-        """Return the batch that leaves next, None for an unknown peer."""
+        """Return the next batch for a peer, None if it has no stream."""
         outbox = self._outboxes.get(name)
         if outbox is None:
             return None
@@ -144,7 +150,7 @@
         return outbox.pending
 
     def fill(self, batch: peers_pb2.Batch, peer: Peer) -> None:
-        """Add what every batch carries."""
+        """Set the fields that every batch has."""
         if batch.opened:
             batch.sender = self._name
             batch.incarnation = self._incarnation
@@ -154,12 +160,12 @@
         self._fill(peer, batch)
 
     async def fetch_state(self, name: str) -> bytes | None:
-        """Return the desired state that a peer holds, None if it fails."""
+        """Fetch a peer's desired state; return None on failure."""
         outbox = self._outboxes.get(name)
         return None if outbox is None else await outbox.fetch_state()
 
     async def close(self) -> None:
-        """End all streams."""
+        """Close all streams."""
         tasks = [outbox.task for outbox in self._outboxes.values()]
         for task in tasks:
             task.cancel()
@@ -169,7 +175,7 @@
             await self._streams.close()
 
     def take(self, batch: peers_pb2.Batch) -> None:
-        """Take a batch as it came."""
+        """Process a received batch."""
         peer = self._peers.setdefault(batch.sender, Peer(batch.sender))
         peer.heard_at = self._loop.time()
         peer.question_us = batch.question_us
@@ -177,37 +183,38 @@
         peer.hears = batch.hears
         peer.knows_use = batch.knows_use
         if batch.sender not in self._outboxes:
-            # It may be asking for something.
-            self._link(batch.sender)
+            # Its batch may need an answer.
+            self._open_stream(batch.sender)
         asked_at = batch.echo_us / _MICRO
-        # An echo of what an earlier run asked may lie ahead of this clock.
+        # An echoed timestamp of an earlier run may be ahead of this clock.
         if 0 < asked_at <= self._loop.time():
             peer.answered_at = max(peer.answered_at, asked_at)
         self._on_batch(peer, batch)
 
-    def _note_places(self) -> None:
-        """Set what follows from who the peers are; times in seconds.
+    def _update_derived_values(self) -> None:
+        """Recompute what depends on the set of peers; times are in seconds.
 
-        Hubs look at each of some hundred peers by it, many times a second.
+        Cached, since a hub reads these values for hundreds of peers many
+        times a second.
         """
-        # All instances that count and have a place, with this one.
-        self.registered = frozenset((*self._places, self._name))
-        # The time between two batches without content.
-        self.beat_s = beat_s(len(self._places))
-        # After this long an unheard peer counts as lost.
-        self.lost_s = _LOST_BEATS * self.beat_s
-        # After this long a stream without answers is opened anew.
-        self.silent_s = _SILENT_BEATS * self.beat_s
-
-    def _link(self, name: str) -> None:
-        place = self._places.get(name)
-        if place is None or self._streams is None:
+        # All registered instances, with this one.
+        self.registered = frozenset((*self._endpoints, self._name))
+        # The interval of heartbeats.
+        self.beat_s = beat_s(len(self._endpoints))
+        # A peer that was not heard for this long counts as lost.
+        self.lost_s = _LOST_HEARTBEATS * self.beat_s
+        # A stream without an echo for this long is reopened.
+        self.silent_s = _SILENT_HEARTBEATS * self.beat_s
+
+    def _open_stream(self, name: str) -> None:
+        endpoint = self._endpoints.get(name)
+        if endpoint is None or self._streams is None:
             return
         peer = self._peers.setdefault(name, Peer(name))
         peer.linked_at = self._loop.time()
-        self._outboxes[name] = self._streams.open(peer, place.address)
+        self._outboxes[name] = self._streams.open(peer, endpoint.address)
 
-    def _unlink(self, name: str) -> None:
+    def _close_stream(self, name: str) -> None:
         outbox = self._outboxes.pop(name)
         outbox.peer.linked_at = None
         outbox.task.cancel()
--- a/packages/transport/src/tallyhall_transport/sender.py
+++ b/packages/transport/src/tallyhall_transport/sender.py
@@ -1,8 +1,8 @@
-"""The sending end: one thread and one channel a peer, only while needed.
+"""Sends messages to peers, with a thread and a channel per active peer.
 
-A unary call costs far more than the messages in it, so whatever was queued
-while the last call ran goes out together. A batch that fails is sent once
-more: every message may arrive twice, and may be lost.
+A unary call costs far more than the messages in it, so all messages queued
+during a call are sent together in the next one. A failed batch is sent once
+more, so a message may arrive twice or not at all.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 from .generated import link_pb2, link_pb2_grpc
 
-_CALL_S = 1.0
-_IDLE_S = 30.0
-_MOST = 256
-_TRIES = 2
-_QUEUE = 10_000
+_CALL_TIMEOUT_S = 1.0
+_IDLE_TIMEOUT_S = 30.0
+_MAX_BATCH = 256
+_MAX_ATTEMPTS = 2
+_QUEUE_SIZE = 10_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,14 +32,14 @@
 
 
 class Sender:
-    """Sends messages to peers by rpc address."""
+    """Sends messages to peers, which are identified by their RPC address."""
 
     def __init__(
         self,
         own_address: str,
         on_down: Callable[[str], None],
     ) -> None:
-        """Call `on_down(address)` when nothing listens at a peer."""
+        """Call `on_down(address)` if a peer is unreachable."""
         self._own = own_address
         self._on_down = on_down
         self._lock = threading.Lock()
@@ -57,13 +57,18 @@
         with self._lock:
             peer = self._peers.get(address)
             if peer is None:
-                peer = _Peer(address, self._own, self._on_down, self._drop)
+                peer = _Peer(
+                    address,
+                    self._own,
+                    self._on_down,
+                    self._discard_if_idle,
+                )
                 self._peers[address] = peer
             peer.put(parcel)
 
-    def _drop(self, peer: _Peer) -> bool:
-        # Under the lock of `send`, so that no message is left in a queue
-        # whose thread has ended.
+    def _discard_if_idle(self, peer: _Peer) -> bool:
+        # Holds the lock that `send` uses, so that no message can be queued
+        # for a thread that has ended.
         with self._lock:
             if not peer.is_idle():
                 return False
@@ -77,13 +82,13 @@
         address: str,
         own: str,
         on_down: Callable[[str], None],
-        drop: Callable[[_Peer], bool],
+        discard_if_idle: Callable[[_Peer], bool],
     ) -> None:
         self.address = address
         self._own = own
         self._on_down = on_down
-        self._drop = drop
-        self._queue: queue.Queue[_Parcel] = queue.Queue(_QUEUE)
+        self._discard_if_idle = discard_if_idle
+        self._queue: queue.Queue[_Parcel] = queue.Queue(_QUEUE_SIZE)
         threading.Thread(
             target=self._run,
             name=f'send-{address}',
@@ -94,7 +99,8 @@
         try:
             self._queue.put_nowait(parcel)
         except queue.Full:
-            # The peer has not taken anything for long; it counts as down.
+            # The peer has accepted nothing for a long time, so it counts as
+            # down.
             self._on_down(self.address)
 
     def is_idle(self) -> bool:
@@ -112,18 +118,18 @@
                 channel,
             )
             while True:
-                batch = self._take()
+                batch = self._next_batch()
                 if batch is not None:
                     self._deliver(stub, batch)
-                elif self._drop(self):
+                elif self._discard_if_idle(self):
                     return
 
-    def _take(self) -> link_pb2.Batch | None:
+    def _next_batch(self) -> link_pb2.Batch | None:
         try:
-            parcels = [self._queue.get(timeout=_IDLE_S)]
+            parcels = [self._queue.get(timeout=_IDLE_TIMEOUT_S)]
         except queue.Empty:
             return None
-        while len(parcels) < _MOST and not self._queue.empty():
+        while len(parcels) < _MAX_BATCH and not self._queue.empty():
             parcels.append(self._queue.get_nowait())
         return link_pb2.Batch(
             sender_address=self._own,
@@ -142,9 +148,9 @@
         stub: link_pb2_grpc.LinkStub,
         batch: link_pb2.Batch,
     ) -> None:
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             try:
-                stub.Deliver(batch, timeout=_CALL_S)
+                stub.Deliver(batch, timeout=_CALL_TIMEOUT_S)
             except grpc.RpcError as exc:
                 if _code(exc) == grpc.StatusCode.UNAVAILABLE:
                     self._on_down(self.address)
@@ -154,6 +160,6 @@
 
 
 def _code(exc: grpc.RpcError) -> grpc.StatusCode | None:
-    # The error of a call also is the call; the type stubs cannot say so.
+    # The error of a call is also a grpc.Call, which the type stubs omit.
     call: object = exc
     return call.code() if isinstance(call, grpc.Call) else None
--- a/packages/transport/src/tallyhall_transport/server.py
+++ b/packages/transport/src/tallyhall_transport/server.py
@@ -1,4 +1,4 @@
-"""The receiving end: a gRPC server that hands messages to the instance."""
+"""A gRPC server that receives messages for the instance."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 
 class Receiver(link_pb2_grpc.LinkServicer):
-    """Decodes batches; a message that cannot be read is counted, not fatal."""
+    """Decodes batches; invalid messages are counted and skipped."""
 
     def __init__(
         self,
         on_message: Callable[[str, str, str, Message], None],
         on_bad: Callable[[], None],
     ) -> None:
-        """Call `on_message(sender, sender address, to, message)` for each."""
+        """Call `on_message(sender, sender address, to, message)` or `on_bad`.
+
+        on_bad: called for each message that cannot be decoded.
+        """
         self._on_message = on_message
         self._on_bad = on_bad
 
@@ -31,7 +34,7 @@
         request: link_pb2.Batch,
         context: grpc.ServicerContext,
     ) -> link_pb2.Ack:
-        """Take one batch."""
+        """Decode one batch and pass its messages on."""
         for parcel in request.parcels:
             try:
                 message = decode(parcel.message)
@@ -48,7 +51,7 @@
 
 
 def start_server(address: str, receiver: Receiver) -> grpc.Server:
-    """Return a started server; raise TransportError if it cannot listen."""
+    """Start a server; raise TransportError if it cannot listen."""
     server = grpc.server(
         futures.ThreadPoolExecutor(_THREADS, 'link'),
         options=[('grpc.so_reuseport', 0)],
@@ -60,6 +63,6 @@
     try:
         server.add_insecure_port(address)
     except RuntimeError as exc:
-        raise TransportError(f'cannot listen at {address}') from exc
+        raise TransportError(f'cannot listen on {address}') from exc
     server.start()
     return server
--- a/packages/transport/src/tallyhall_transport/streams.py
+++ b/packages/transport/src/tallyhall_transport/streams.py
@@ -1,8 +1,8 @@
-"""The library's part of the streams between instances: sending, serving.
+"""The gRPC side of the streams between instances, client and server.
 
-To load the library takes 50 ms of processor time, a third of a start, and
-nothing of it is needed for the first answer to a caller. So only loading.py
-loads this module, once callers can be answered.
+Importing the gRPC library takes 50 ms of processor time, a third of the start
+of an instance, and the first answers to callers do not need it. So only
+loading.py imports this module, once callers can be answered.
 """
 
 from __future__ import annotations
@@ -18,21 +18,26 @@
 from .generated import peers_pb2, peers_pb2_grpc
 from .peer import Peer, ReadState
 
-# A new stream has this long until its first answer.
-_OPENING_S = 0.2
-# The first batch waits for the connection. An opening packet to an instance
-# that is just starting is lost and sent again after a second, so another
-# connection is tried sooner: after a power failure of all, seven instances
-# heard each other after 1.1 s with the 0.8 s of later batches.
-_CONNECT_S = 0.3
-_RETRY_S = 0.1
-_FETCH_S = 0.5
-# Handlers that have ended have this long to tell their peers so.
-_ENDING_S = 0.1
-# A write on a stream that ended since the last one is an invalid state to the
-# library, whatever ended it.
-_LOSSES = (RpcError, TransportError, TimeoutError, asyncio.InvalidStateError)
-_OPTIONS = (
+# Additional time for the first echo on a new stream.
+_FIRST_ANSWER_TIMEOUT_S = 0.2
+# Timeout of the first batch, which waits for the connection. A SYN packet to an
+# instance that is just starting is lost and retransmitted after a second, so
+# another connection is tried sooner. With the 0.8 s of later batches, seven
+# instances that had all lost power heard each other only after 1.1 s.
+_CONNECT_TIMEOUT_S = 0.3
+_RECONNECT_PAUSE_S = 0.1
+_FETCH_TIMEOUT_S = 0.5
+# Time in which handlers that have ended can send their status to the peers.
+_SHUTDOWN_GRACE_S = 0.1
+# Writing to a stream that has ended since the last write raises
+# InvalidStateError in the library, whatever ended it.
+_STREAM_ERRORS = (
+    RpcError,
+    TransportError,
+    TimeoutError,
+    asyncio.InvalidStateError,
+)
+_CHANNEL_OPTIONS = (
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.max_reconnect_backoff_ms', 500),
     ('grpc.enable_http_proxy', 0),
@@ -41,33 +46,33 @@
 )
 
 
-class Links(Protocol):
-    """What a stream needs of the links that it is one of."""
+class StreamOwner(Protocol):
+    """The object that owns streams, as the streams use it."""
 
     on_lost: Callable[[Peer, Exception], None]
     on_opened: Callable[[Peer], None]
 
     @property
     def beat_s(self) -> float:
-        """Return the time between two batches without content."""
+        """Return the interval of heartbeats."""
 
     @property
     def silent_s(self) -> float:
-        """Return after how long a stream without answers is opened anew."""
+        """Return the time after which a stream without echoes is reopened."""
 
     def fill(self, batch: peers_pb2.Batch, peer: Peer) -> None:
-        """Add what every batch carries."""
+        """Set the fields that every batch has."""
 
 
 class Servicer(peers_pb2_grpc.PeersServicer):
-    """Reads the streams of senders and answers what they ask."""
+    """Reads incoming streams and answers requests for the desired state."""
 
     def __init__(
         self,
         take: Callable[[peers_pb2.Batch], None],
         read_state: ReadState,
     ) -> None:
-        """Pass batches to `take`; `read_state` is what others fetch."""
+        """Pass batches to `take`; `read_state` returns the desired state."""
         self._take = take
         self._read_state = read_state
         self._streams: set[asyncio.Task[None]] = set()
@@ -94,10 +99,11 @@
         return peers_pb2.Closed()
 
     async def end_streams(self) -> None:
-        """End the streams of all senders, so that none is cut by the server.
+        """End all incoming streams before the server cancels their handlers.
 
-        A handler that the server itself cancels is logged as an error by the
-        library; peers that the store has not told of our leaving still send.
+        The library logs a handler that the server cancels as an error, and
+        peers that have not yet learned from the store that this instance is
+        leaving are still sending.
         """
         self._closing = True
         for stream in self._streams:
@@ -119,7 +125,8 @@
         sender = ''
         incarnation = ''
         async for batch in batches:
-            # 37 of the 59 bytes of a beat, so they come once a stream.
+            # These are 37 of the 59 bytes of a heartbeat, so they are sent
+            # only once per stream.
             sender = batch.sender or sender
             incarnation = batch.incarnation or incarnation
             batch.sender = sender
@@ -128,47 +135,47 @@
 
 
 class Outbox:
-    """What waits to be sent to one peer, and the task that sends it."""
+    """The batch that is queued for one peer, and the task that sends it."""
 
-    def __init__(self, links: Links, peer: Peer, address: str) -> None:
-        """Send to this address until the task is cancelled."""
+    def __init__(self, owner: StreamOwner, peer: Peer, address: str) -> None:
+        """Start a task that sends to `address` until it is cancelled."""
         self.peer = peer
         self.address = address
         self.pending = peers_pb2.Batch()
         self.filled = asyncio.Event()
         self._channel: aio.Channel | None = None
-        self._links = links
+        self._owner = owner
         self._loop = asyncio.get_running_loop()
         self.task = self._loop.create_task(self._run())
 
     async def fetch_state(self) -> bytes | None:
-        """Return the desired state that the peer holds, None if it fails."""
+        """Fetch the peer's desired state; return None on failure."""
         if self._channel is None:
             return None
         stub = _stub(self._channel)
         try:
             reply = await stub.FetchState(
                 peers_pb2.StateRequest(),
-                timeout=_FETCH_S,
+                timeout=_FETCH_TIMEOUT_S,
             )
         except RpcError as exc:
-            self._links.on_lost(self.peer, exc)
+            self._owner.on_lost(self.peer, exc)
             return None
         return bytes(reply.state)
 
     async def _run(self) -> None:
         while True:
             try:
-                await self._one_stream()
-            except _LOSSES as exc:
-                self._links.on_lost(self.peer, exc)
+                await self._run_stream()
+            except _STREAM_ERRORS as exc:
+                self._owner.on_lost(self.peer, exc)
             self.pending = peers_pb2.Batch()
-            await asyncio.sleep(_RETRY_S)
+            await asyncio.sleep(_RECONNECT_PAUSE_S)
 
-    async def _one_stream(self) -> None:
+    async def _run_stream(self) -> None:
         async with aio.insecure_channel(
             self.address,
-            options=_OPTIONS,
+            options=_CHANNEL_OPTIONS,
         ) as channel:
             self._channel = channel
             stub = _stub(channel)
@@ -184,45 +191,45 @@
         call: aio.StreamUnaryCall[peers_pb2.Batch, peers_pb2.Closed],
     ) -> None:
         opened_at = self._loop.time()
-        write_s = _CONNECT_S
-        # What was queued for a first stream goes with its first batch.
+        write_s = _CONNECT_TIMEOUT_S
+        # What was queued before the first stream is sent in its first batch.
         self.pending.opened = True
         self.peer.forget_told()
-        self._links.on_opened(self.peer)
+        self._owner.on_opened(self.peer)
         while True:
             batch = self.pending
             self.pending = peers_pb2.Batch()
             self.filled.clear()
-            self._links.fill(batch, self.peer)
+            self._owner.fill(batch, self.peer)
             async with asyncio.timeout(write_s):
                 await call.write(batch)
-            write_s = self._links.silent_s
+            write_s = self._owner.silent_s
             self._check_answers(opened_at)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._links.beat_s):
+                async with asyncio.timeout(self._owner.beat_s):
                     await self.filled.wait()
 
     def _check_answers(self, opened_at: float) -> None:
         now = self._loop.time()
-        silent_s = self._links.silent_s
-        if now - opened_at < _OPENING_S + silent_s:
+        silent_s = self._owner.silent_s
+        if now - opened_at < _FIRST_ANSWER_TIMEOUT_S + silent_s:
             return
         if now - self.peer.answered_at > silent_s:
             raise TransportError('the peer does not answer')
 
 
 class Streams:
-    """The streams of one instance, in both directions."""
+    """The outgoing and incoming streams of one instance."""
 
-    def __init__(self, links: Links) -> None:
-        """Open nothing yet."""
-        self._links = links
+    def __init__(self, owner: StreamOwner) -> None:
+        """Create an object without any stream or server."""
+        self._owner = owner
         self._servicer: Servicer | None = None
         self._server: aio.Server | None = None
 
     def open(self, peer: Peer, address: str) -> Outbox:
-        """Return the sending end of a new stream."""
-        return Outbox(self._links, peer, address)
+        """Open a stream to a peer; return its outbox."""
+        return Outbox(self._owner, peer, address)
 
     async def listen(
         self,
@@ -230,9 +237,10 @@
         take: Callable[[peers_pb2.Batch], None],
         read_state: ReadState,
     ) -> None:
-        """Open the address; raise OSError where it is taken.
+        """Listen on the address; raise OSError if it is in use.
 
-        Batches go to `take`; `read_state` is what others fetch.
+        Batches are passed to `take`; `read_state` returns the desired state
+        for peers that fetch it.
         """
         server = aio.server(options=(('grpc.so_reuseport', 0),))
         self._servicer = Servicer(take, read_state)
@@ -242,16 +250,16 @@
         except RuntimeError as exc:
             raise OSError(str(exc)) from exc
         if not port:
-            raise OSError(f'{address} cannot be opened')
+            raise OSError(f'{address}: cannot listen')
         await server.start()
         self._server = server
 
     async def close(self) -> None:
-        """End the streams that were opened here, then the address."""
+        """End the incoming streams, then stop the server."""
         if self._servicer is not None:
             await self._servicer.end_streams()
         if self._server is not None:
-            await self._server.stop(_ENDING_S)
+            await self._server.stop(_SHUTDOWN_GRACE_S)
 
 
 def _stub(channel: aio.Channel) -> peers_pb2_grpc.PeersStub:
