--- a/tests/platform/test_absence.py
+++ b/tests/platform/test_absence.py
@@ -1,20 +1,11 @@
-"""Removed upstreams while and after the store was out of reach.
-
-The failure: two instances lost the way to the store for 12 s. Meanwhile an
-upstream left, and the store said so. The way was whole again at 45.0 s of
-the run, both instances read the removal at 45.7 and 45.8, and one of them
-sent the upstream a request at 48.1, 3.1 s after the way was whole, where the
-operators promise 3 s. The upstream went at 48.378 and 48.379.
-
-The cause: any failed call counted as an outage of the store itself, after
-which entries that lapsed come back within two seconds. Removals were
-therefore held for 2.3 s from the moment at which the return was noticed, up
-to 1.3 s late, and released only at the end of the watch that ran then.
-
-The evidence, in the log of the instance: 207 (the last failed call) at
-45.026, 201 and 208 with the newest state at 45.747 and 45.748, 401 with this
-upstream, granted by the instance itself, at 48.104, 213 with the upstream
-gone at 48.378.
+"""Removals of upstreams during and after an outage of the store.
+
+Two instances lost their connection to the store for 12 s, while an upstream
+was removed. One of them sent it a request 3.1 s after the connection worked
+again, later than the 3 s of `contact_s`, and both dropped it only after 3.4 s.
+Every failed call counted as an outage of the store itself, so removals were
+held for 2.3 s from the time at which the return was noticed, up to 1.3 s late,
+and applied only when the watch running then had ended.
 """
 
 import asyncio
@@ -39,58 +30,59 @@
     until,
 )
 
-_GONE = 'servers/plain-1'
-# A watch that waited when the store fell silent is answered until then.
+_REMOVED_KEY = 'servers/plain-1'
+# A watch that was pending when the store went silent is answered within this
+# time.
 _LAST_WATCH_S = 1.5
 
 
-async def test_a_removed_upstream_gets_nothing_after_the_bound() -> None:
+async def test_a_removed_upstream_gets_no_requests_after_the_bound() -> None:
     async with deployment(revoke_s=30) as made:
         await made.add_engine('plain-0', PLAIN)
         gone = await made.add_engine('plain-1', PLAIN)
         await made.ready()
         async with _load(made.caller()):
-            whole_at = await _outage(made, 2.5)
+            restored_at = await _outage(made, 2.5)
             seen = len(gone.seen)
             assert seen
-            await _until_time(whole_at + made.options[0].bounds.contact_s)
+            await _until_time(restored_at + made.options[0].bounds.contact_s)
             seen = len(gone.seen)
             await asyncio.sleep(1)
             assert len(gone.seen) == seen
 
 
-async def test_the_bound_is_the_deployments_own() -> None:
+async def test_the_bound_is_configurable() -> None:
     async with deployment(contact_s=1.2, heartbeat_s=0.4) as made:
         await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
         await made.ready()
         instance = made.instances[0]
-        whole_at = await _outage(made, 0.5)
+        restored_at = await _outage(made, 0.5)
         assert instance.usable_upstreams == 2
-        await _until_time(whole_at + 1.2)
+        await _until_time(restored_at + 1.2)
         assert instance.usable_upstreams == 1
 
 
-async def test_entries_that_come_back_in_time_are_used_all_along() -> None:
+async def test_entries_that_return_in_time_are_used_throughout() -> None:
     async with deployment(revoke_s=30) as made:
         await made.add_engine('plain-0', PLAIN)
         back = await made.add_engine('plain-1', PLAIN)
         await made.ready()
         async with _load(made.caller()):
-            whole_at = await _outage(made, 2.5)
-            while asyncio.get_running_loop().time() < whole_at + 2:
+            restored_at = await _outage(made, 2.5)
+            while asyncio.get_running_loop().time() < restored_at + 2:
                 seen = len(back.seen)
                 await asyncio.sleep(0.3)
                 assert len(back.seen) > seen
             made.register('plain-1', made.addresses['plain-1'], PLAIN)
-            while asyncio.get_running_loop().time() < whole_at + 4:
+            while asyncio.get_running_loop().time() < restored_at + 4:
                 seen = len(back.seen)
                 await asyncio.sleep(0.3)
                 assert len(back.seen) > seen
 
 
 @pytest.mark.parametrize('fault', [StoreFault.resets, StoreFault.silent])
-async def test_one_lost_call_holds_no_removal(fault: StoreFault) -> None:
+async def test_a_single_failed_call_holds_no_removal(fault: StoreFault) -> None:
     async with deployment() as made:
         await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
@@ -99,16 +91,16 @@
         made.store.fault = fault
         await made.next_watch()
         made.store.fault = StoreFault.none
-        made.store.remove(_GONE)
-        # A silent connection is given up after 1.5 s.
+        made.store.remove(_REMOVED_KEY)
+        # A watch without an answer times out after 1.5 s.
         await until(lambda: instance.usable_upstreams == 1, 1.8)
 
 
-async def test_a_silent_watch_ends_within_the_bound() -> None:
-    """A removal is known in time where the only watch got lost silently.
+async def test_an_unanswered_watch_ends_within_the_bound() -> None:
+    """A removal is applied in time although a watch got no answer.
 
-    A watch was given up after 1.5 s, 2.5 s in a large fleet, whatever the
-    operators promise about instances whose way is whole.
+    A watch used to time out after 1.5 s, or 2.5 s in a large fleet,
+    regardless of `contact_s`.
     """
     async with deployment(contact_s=1.3) as made:
         await made.add_engine('plain-0', PLAIN)
@@ -119,12 +111,12 @@
         made.store.fault = StoreFault.silent
         await made.next_watch()
         made.store.fault = StoreFault.none
-        made.store.remove(_GONE)
+        made.store.remove(_REMOVED_KEY)
         await until(lambda: instance.usable_upstreams == 1, 1.3)
 
 
 async def test_a_store_that_answers_others_holds_no_removal() -> None:
-    # Others hear an instance only as long as its own entry lives.
+    # Others hear an instance only until its own entry expires.
     async with deployment(2, least_lease_s=20) as made:
         await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
@@ -135,18 +127,18 @@
         lost = msgspec.structs.replace(options.store, address=nowhere)
         cut.reload(msgspec.structs.replace(options, store=lost))
         await asyncio.sleep(4)
-        made.store.remove(_GONE)
+        made.store.remove(_REMOVED_KEY)
         await asyncio.sleep(0.5)
         assert cut.usable_upstreams == 2
         cut.reload(options)
         await until(lambda: cut.usable_upstreams == 1, 1)
 
 
-async def test_a_store_that_limits_calls_is_not_away() -> None:
-    """A removal counts at once after a run of refusals for too many calls.
+async def test_rate_limited_calls_are_no_outage() -> None:
+    """A removal is applied at once after calls were refused as too many.
 
-    The store works then, and upstreams write their entries. Such a run
-    counted as an outage, and the removal was held for 2.2 s after it.
+    The store works then, and upstreams write their entries. Such refusals
+    used to count as an outage, and removals were held for 2.2 s after it.
     """
     async with deployment() as made:
         await made.add_engine('plain-0', PLAIN)
@@ -155,19 +147,19 @@
         instance = made.instances[0]
         made.store.fault = StoreFault.limits
         await asyncio.sleep(4.5)
-        made.store.remove(_GONE)
+        made.store.remove(_REMOVED_KEY)
         made.store.fault = StoreFault.none
-        # The pause after refused calls is 0.8 s at the most.
+        # The pause after refused calls is at most 0.8 s.
         await until(lambda: instance.usable_upstreams == 1, 1)
 
 
-async def test_an_upstream_that_leaves_during_the_connect_gets_nothing(
+async def test_an_upstream_removed_while_connecting_gets_no_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What is known right before the first byte decides, not the grant.
+    """An upstream is checked again right before the first byte is sent.
 
-    A connection may take 0.3 s, more than is kept of the bound. A request
-    that was granted before was sent although its upstream had left.
+    Connecting may take 0.3 s, more than the margin of `contact_s`. A granted
+    request used to be sent although its upstream had been removed meanwhile.
     """
     async with deployment() as made:
         gone = await made.add_engine('plain-1', PLAIN)
@@ -175,13 +167,13 @@
         instance = made.instances[0]
         slow = _SlowConnect(int(made.addresses['plain-1'].rpartition(':')[2]))
         monkeypatch.setattr(ClientConnection, 'open', slow)
-        # A watch that has just begun brings the removal at once, unless it
-        # ends with what the instance itself wrote at its start.
+        # A watch that has just begun returns the removal at once, unless it
+        # already ends with what the instance itself wrote at its start.
         await asyncio.sleep(1)
         await made.next_watch()
         answered = await made.caller().start('/once/x', 'r1')
         await slow.began.wait()
-        made.store.remove(_GONE)
+        made.store.remove(_REMOVED_KEY)
         await until(lambda: not instance.usable_upstreams, 0.2)
         assert (await answered).status == 503
         assert gone.connections == 1
@@ -189,7 +181,7 @@
 
 
 class _SlowConnect:
-    """Connects to one port a quarter of a second late."""
+    """Delays connections to one port by a quarter of a second."""
 
     def __init__(self, port: int) -> None:
         self.began = asyncio.Event()
@@ -209,14 +201,15 @@
 
 
 async def _outage(made: Deployment, more_s: float) -> float:
-    """Lose the way to the store; return when it is whole again.
+    """Cut the connection to the store; return when it works again.
 
-    An upstream is removed meanwhile. The way is whole right after a watch
-    began that is lost, which is the latest to notice it.
+    An upstream is removed meanwhile. The connection is restored right after
+    the start of a watch that gets no answer, so that this is noticed as late
+    as possible.
     """
     made.store.fault = StoreFault.silent
     await asyncio.sleep(_LAST_WATCH_S)
-    made.store.remove(_GONE)
+    made.store.remove(_REMOVED_KEY)
     await asyncio.sleep(more_s)
     await made.next_watch()
     made.store.fault = StoreFault.none
@@ -229,7 +222,7 @@
 
 @contextlib.asynccontextmanager
 async def _load(caller: Caller) -> AsyncIterator[None]:
-    """Send requests one after another meanwhile; all are answered."""
+    """Send requests one after another inside the context; all must succeed."""
     ends = asyncio.Event()
     task = asyncio.create_task(_send(caller, ends))
     yield
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -1,4 +1,4 @@
-"""What an instance believes while the store is away, slow or forgetful."""
+"""Following the store through outages, silence and compacted history."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from tests.platform.harness import PLAIN, deployment, desired, until
 
 
-async def test_newer_states_only() -> None:
+async def test_older_and_invalid_states_are_ignored() -> None:
     async with deployment() as made:
         await made.add_engine('plain-0', PLAIN)
         await made.ready()
@@ -20,8 +20,8 @@
         await until(lambda: instance.state_version == 8)
 
 
-async def test_compacted_history_is_read_again() -> None:
-    # The store is away for a second, longer than entries outlast.
+async def test_compacted_history_triggers_a_full_read() -> None:
+    # The store is down for a second, longer than entries survive.
     async with deployment(heartbeat_s=0.4) as made:
         await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
@@ -36,12 +36,12 @@
         made.store.compact()
         made.store.fault = StoreFault.none
         await until(lambda: instance.state_version == 4)
-        # Held back while entries may return, then gone for good.
+        # The removal is held while entries may be written again, then applied.
         assert instance.usable_upstreams == 2
         await until(lambda: instance.usable_upstreams == 1)
 
 
-async def test_removed_upstream_is_left_at_once() -> None:
+async def test_removed_upstream_is_dropped_at_once() -> None:
     async with deployment() as made:
         await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
@@ -53,11 +53,11 @@
         await until(lambda: instance.usable_upstreams == 1, 0.5)
 
 
-async def test_a_large_fleet_reads_changes_within_the_bound() -> None:
-    """An upstream that leaves right after another change is left in time.
+async def test_two_quick_changes_in_a_large_fleet_are_read_in_time() -> None:
+    """A removal right after another change is applied within `change_s`.
 
-    Instances of a large fleet paused for 1.2 s after a change, whatever the
-    operators promise about the next one.
+    Instances of a large fleet used to pause for 1.2 s after each change,
+    regardless of that bound.
     """
     async with deployment(change_s=0.9) as made:
         await made.add_engine('plain-0', PLAIN)
@@ -82,7 +82,7 @@
         await until(lambda: instance.usable_upstreams == 1, 0.9)
 
 
-async def test_keys_need_a_confirmed_state() -> None:
+async def test_api_keys_need_a_confirmed_state() -> None:
     async with deployment(revoke_s=2.5) as made:
         engine = await made.add_engine('plain-0', PLAIN)
         await made.ready()
@@ -99,7 +99,7 @@
         assert served.status == 200
 
 
-async def test_a_peer_confirms_for_one_that_the_store_turns_away() -> None:
+async def test_a_peer_relays_state_to_an_instance_without_the_store() -> None:
     async with deployment(2, revoke_s=4.3) as made:
         await made.add_engine('plain-0', PLAIN)
         await made.ready()
@@ -107,7 +107,7 @@
         await asyncio.sleep(3.3)
         answer = await made.caller().ask('/safe/x', 'r1')
         assert answer.status == 200
-        # A state that only the peer has read arrives through it.
+        # A state that only the peer has read is relayed by it.
         state = desired(2)
         state['tenants'][0]['api-keys'] = ['key-2']
         made.store.put('op/config', state)
@@ -116,7 +116,7 @@
         assert refused.status == 401
 
 
-async def test_entry_goes_with_its_instance() -> None:
+async def test_entry_is_removed_when_its_instance_closes() -> None:
     async with deployment(2) as made:
         await made.ready()
         prefix = 'tallyhall/instances/'
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of other writers: they name nothing, and all others hold."""
+"""Invalid entries in the store are rejected and do not affect valid ones."""
 
 import contextlib
 import json
@@ -19,7 +19,7 @@
 from tests.platform.harness import MODEL, TOKENS, Deployment, deployment, until
 
 _KEY = 'servers/i-1'
-_WHOLE: dict[str, Any] = {  # noqa: WPS407
+_VALID: dict[str, Any] = {  # noqa: WPS407
     'service': MODEL,
     'address': '10.1.2.3:8080',
     'zone': 'a',
@@ -50,7 +50,7 @@
     max_leaves=12,
 )
 _NESTED = b'[' * 200_000
-_WRONG_FIELDS = [
+_INVALID_FIELDS = [
     ('service', ''),
     ('service', 3),
     ('address', '10.1.2.3'),
@@ -81,37 +81,40 @@
 ]
 
 
-def test_a_whole_entry_names_an_upstream() -> None:
-    entry = decode_upstream('i-1', json.dumps(_WHOLE).encode())
+def test_a_valid_entry_is_decoded() -> None:
+    entry = decode_upstream('i-1', json.dumps(_VALID).encode())
     assert entry.upstream.incarnation == 'i-1'
     assert entry.serial == 4
-    born = json.dumps(_WHOLE | {'born': 1_700_000_000_000, 'more': []})
+    born = json.dumps(_VALID | {'born': 1_700_000_000_000, 'more': []})
     again = decode_upstream('i-1', born.encode()).upstream
     assert again.name == 'i-1'
     assert again.incarnation != entry.upstream.incarnation
 
 
-@pytest.mark.parametrize('name', list(_WHOLE))
-def test_what_lacks_a_field_names_none(name: str) -> None:
-    fields = {key: text for key, text in _WHOLE.items() if key != name}
+@pytest.mark.parametrize('name', list(_VALID))
+def test_a_missing_field_is_rejected(name: str) -> None:
+    fields = {key: text for key, text in _VALID.items() if key != name}
     with pytest.raises(DecodeError):
         decode_upstream('i-1', json.dumps(fields).encode())
 
 
-@pytest.mark.parametrize(('name', 'wrong'), _WRONG_FIELDS)
-def test_what_has_a_wrong_field_names_none(name: str, wrong: Any) -> None:
+@pytest.mark.parametrize(('name', 'invalid'), _INVALID_FIELDS)
+def test_an_invalid_field_is_rejected(name: str, invalid: Any) -> None:
     with pytest.raises(DecodeError):
-        decode_upstream('i-1', json.dumps(_WHOLE | {name: wrong}).encode())
+        decode_upstream('i-1', json.dumps(_VALID | {name: invalid}).encode())
 
 
-@given(st.sampled_from(list(_WHOLE)), _json)
-def test_any_field_of_any_type(name: str, other: Any) -> None:
-    raw = json.dumps(_WHOLE | {name: other}).encode()
+@given(st.sampled_from(list(_VALID)), _json)
+def test_fields_of_any_type_are_decoded_or_rejected(
+    name: str,
+    other: Any,
+) -> None:
+    raw = json.dumps(_VALID | {name: other}).encode()
     try:
         upstream = decode_upstream('i-1', raw).upstream
     except DecodeError:
         return
-    # What is taken is what stands there, to the letter.
+    # Accepted values are exactly those of the entry.
     fields = json.loads(raw)
     assert upstream.service == fields['service']
     assert f'{upstream.host}:{upstream.port}' == fields['address']
@@ -143,7 +146,7 @@
         b'null',
     ],
 )
-def test_bytes_that_cannot_be_read(
+def test_invalid_bytes_raise_decode_error(
     decode: Callable[[bytes], object],
     raw: bytes,
 ) -> None:
@@ -152,7 +155,7 @@
 
 
 @given(st.sampled_from(_DECODERS), st.binary(max_size=80) | _json)
-def test_nothing_else_is_raised(
+def test_only_decode_error_is_raised(
     decode: Callable[[bytes], object],
     content: Any,
 ) -> None:
@@ -166,11 +169,13 @@
 
 
 @given(st.data())
-def test_damaged_bytes_never_name_another(given_data: st.DataObject) -> None:
-    raw = bytearray(json.dumps(_WHOLE).encode())
+def test_damaged_bytes_raise_only_decode_error(
+    given_data: st.DataObject,
+) -> None:
+    raw = bytearray(json.dumps(_VALID).encode())
     for _ in range(given_data.draw(st.integers(1, 3))):
-        place = given_data.draw(st.integers(0, len(raw) - 1))
-        raw[place] = given_data.draw(st.integers(0, 255))
+        position = given_data.draw(st.integers(0, len(raw) - 1))
+        raw[position] = given_data.draw(st.integers(0, 255))
     for decode in _DECODERS:
         with contextlib.suppress(DecodeError):
             decode(bytes(raw))
@@ -180,34 +185,34 @@
     'changes',
     [{'instance': 'entry-2'}, {'front': 'here'}, {'peer': 5}, {'cores': -1}],
 )
-def test_an_instance_is_named_by_itself_only(changes: dict[str, Any]) -> None:
+def test_an_invalid_instance_entry_is_rejected(changes: dict[str, Any]) -> None:
     assert decode_instance('entry-1', json.dumps(_INSTANCE).encode())
     with pytest.raises(DecodeError):
         decode_instance('entry-1', json.dumps(_INSTANCE | changes).encode())
 
 
-def test_what_replaces_an_entry_names_nothing() -> None:
+def test_an_invalid_entry_removes_the_upstream() -> None:
     upstreams = Upstreams()
-    upstreams.take('servers/i-2', json.dumps(_WHOLE).encode())
-    upstreams.take(_KEY, json.dumps(_WHOLE).encode())
+    upstreams.take('servers/i-2', json.dumps(_VALID).encode())
+    upstreams.take(_KEY, json.dumps(_VALID).encode())
     with pytest.raises(DecodeError):
         upstreams.take(_KEY, b'{}')
     assert [upstream.name for upstream in upstreams.all()] == ['i-2']
-    upstreams.take(_KEY, json.dumps(_WHOLE).encode())
+    upstreams.take(_KEY, json.dumps(_VALID).encode())
     assert len(upstreams.all()) == 2
 
 
-async def test_a_running_instance_serves_on() -> None:
+async def test_a_running_instance_ignores_invalid_entries() -> None:
     async with deployment() as made:
         engine = await made.add_engine('engine-0')
         await made.ready()
         lines: list[str] = []
         with _rejections(lines):
             for _ in range(3):
-                _write_foreign(made)
+                _write_invalid_entries(made)
                 await made.next_watch()
                 await made.next_watch()
-        made.store.put('servers/i-late', _WHOLE)
+        made.store.put('servers/i-late', _VALID)
         instance = made.instances[0]
         await until(lambda: instance.usable_upstreams == 2)
         made.store.remove('servers/i-late')
@@ -215,7 +220,7 @@
         answer = await made.caller().ask('/stream/x', 'r1', **TOKENS)
         assert answer.status == 200
         assert len(engine.ran) == 1
-        # One line for each key, however often it is written.
+        # One log line per key, however often it is written.
         assert sorted(lines) == sorted(set(lines))
         assert len(lines) == 6
 
@@ -232,7 +237,7 @@
 
 @contextlib.contextmanager
 def _rejections(lines: list[str]) -> Iterator[None]:
-    """Collect the keys of values that are rejected meanwhile."""
+    """Collect the keys of values rejected inside the context."""
     logger = logging.getLogger('tallyhall.entry')
     collector = _Collector(lines)
     logger.addHandler(collector)
@@ -242,7 +247,7 @@
         logger.removeHandler(collector)
 
 
-def _write_foreign(made: Deployment) -> None:
+def _write_invalid_entries(made: Deployment) -> None:
     store = made.store
     store.put_raw('servers/i-nested', _NESTED)
     store.put_raw('servers/i-bytes', b'\xff\x00')
--- a/tests/platform/test_late_writes.py
+++ b/tests/platform/test_late_writes.py
@@ -1,19 +1,12 @@
-"""Writes of an instance's entry that the store executes seconds later.
-
-The failure: a process that stops writes its mark under lease 3 and gets no
-answer, repeats it under lease 4 and ends lease 4 at its end. The new process
-registers under lease 5. Now the store executes the first write: the entry is
-the old run's, marked, under lease 3, and goes with that lease. The new one
-renews lease 5, which is answered, and never writes again: no caller is sent
-to it and no other instance counts it, for good. The same happens at a start
-after a first write that was lost.
-
-The cause: a lease that a write went out under was forgotten where the write
-got no answer, so nobody ended it; and a registration never looked at what
-the store holds.
-
-The evidence: the store's item after each step, in the same course: the old
-run's incarnation with `leaving` after the late write, no item 6 s later.
+"""Registrations that the store executes seconds after they were sent.
+
+A stopping process marks its entry as leaving under lease 3, gets no answer,
+repeats the write under lease 4 and ends lease 4. Its successor registers under
+lease 5. If the store executes the first write only now, the entry is the old
+one again and expires with lease 3, while the successor keeps renewing lease 5
+without an error. It then stayed unregistered for good, because the lease of an
+unanswered write was never ended and the instance never checked its entry in
+the store. A first write that was lost at a start had the same effect.
 """
 
 import asyncio
@@ -36,43 +29,43 @@
 
 _Write = tuple[str, bytes, int]
 _KEY = 'tallyhall/instances/x'
-_RENEWED_S = 0.8
+_RENEW_INTERVAL_S = 0.8
 _LEASE_S = 2.4
 
 
-async def test_a_late_mark_does_not_replace_the_new_entry() -> None:
+async def test_a_delayed_leaving_mark_does_not_replace_the_new_entry() -> None:
     async with deployment(1) as made:
         old = _Process(made, 'old')
         with old.running():
-            await until(lambda: _run_of(made.store, _KEY) == 'old')
-        late = old.lose_a_write()
+            await until(lambda: _incarnation_of(made.store, _KEY) == 'old')
+        late = old.drop_next_write()
         with old.leaving():
-            await until(lambda: _is_marked(made.store))
+            await until(lambda: _is_leaving(made.store))
         await old.registration.end(0.2)
         assert not made.store.keys(_KEY)
         new = _Process(made, 'new')
         with new.running():
-            await until(lambda: _run_of(made.store, _KEY) == 'new')
-            await _execute(made, late)
-            assert _run_of(made.store, _KEY) == 'new'
-            await asyncio.sleep(_LEASE_S + _RENEWED_S)
-            assert _run_of(made.store, _KEY) == 'new'
+            await until(lambda: _incarnation_of(made.store, _KEY) == 'new')
+            await _execute_late(made, late)
+            assert _incarnation_of(made.store, _KEY) == 'new'
+            await asyncio.sleep(_LEASE_S + _RENEW_INTERVAL_S)
+            assert _incarnation_of(made.store, _KEY) == 'new'
 
 
 async def test_a_late_first_write_does_not_end_the_entry() -> None:
     async with deployment(1) as made:
         new = _Process(made, 'new')
-        late = new.lose_a_write()
+        late = new.drop_next_write()
         with new.running():
-            await until(lambda: _run_of(made.store, _KEY) == 'new')
+            await until(lambda: _incarnation_of(made.store, _KEY) == 'new')
             await asyncio.sleep(0.3)
-            await _execute(made, late)
-            await asyncio.sleep(_LEASE_S + _RENEWED_S)
-            assert _run_of(made.store, _KEY) == 'new'
+            await _execute_late(made, late)
+            await asyncio.sleep(_LEASE_S + _RENEW_INTERVAL_S)
+            assert _incarnation_of(made.store, _KEY) == 'new'
 
 
-async def test_an_entry_that_is_lost_is_written_again() -> None:
-    """It is another run's, or marked though this run stays, or missing."""
+async def test_a_missing_or_replaced_entry_is_written_again() -> None:
+    """The entry is of another run, wrongly marked as leaving, or missing."""
     async with deployment(1) as made:
         await made.ready()
         key = 'tallyhall/instances/entry-1'
@@ -85,7 +78,7 @@
         await until(lambda: _content(made.store, key) == own, 4)
 
 
-async def test_an_entry_that_stands_is_not_written_again() -> None:
+async def test_an_intact_entry_is_not_written_again() -> None:
     async with deployment(2) as made:
         await made.ready()
         await asyncio.sleep(1)
@@ -95,33 +88,33 @@
 
 
 class _LossyClient(StoreClient):
-    """Gets no answer to one write."""
+    """Drops one write and reports that it got no answer."""
 
     def __init__(self, address: Listening) -> None:
         super().__init__(address)
-        self.is_losing = False
-        self.lost: list[_Write] = []
+        self.is_write_lost = False
+        self.unanswered: list[_Write] = []
 
     async def put(self, key: str, content: bytes, lease: int) -> None:
-        if self.is_losing:
-            self.is_losing = False
-            self.lost.append((key, content, lease))
+        if self.is_write_lost:
+            self.is_write_lost = False
+            self.unanswered.append((key, content, lease))
             raise StoreUnavailableError('no answer')
         await super().put(key, content, lease)
 
 
 class _NoUse:
-    """Nothing was used."""
+    """A source without any use of quotas."""
 
     def due(self) -> Written | None:
-        """Return nothing."""
+        """Return None: there is nothing to write."""
 
     def written(self, use: Written) -> None:
-        """Take nothing."""
+        """Ignore the call."""
 
 
 class _Process:
-    """One run's registration of the instance `x`."""
+    """The registration of the instance `x` by one of its runs."""
 
     def __init__(self, made: Deployment, incarnation: str) -> None:
         self._client = _LossyClient(_address(made))
@@ -136,34 +129,34 @@
 
     @contextlib.contextmanager
     def running(self) -> Iterator[None]:
-        """Register and renew meanwhile."""
+        """Register and renew inside the context."""
         task = asyncio.create_task(self.registration.run())
         yield
         task.cancel()
 
     @contextlib.contextmanager
     def leaving(self) -> Iterator[None]:
-        """Mark the entry meanwhile."""
+        """Mark the entry as leaving inside the context."""
         task = asyncio.create_task(self.registration.leave(8))
         yield
         task.cancel()
 
-    def lose_a_write(self) -> list[_Write]:
-        """Get no answer to the next write; return it once it was sent."""
-        self._client.is_losing = True
-        return self._client.lost
+    def drop_next_write(self) -> list[_Write]:
+        """Drop the next write; return a list that will hold it."""
+        self._client.is_write_lost = True
+        return self._client.unanswered
 
 
 def _no_log(*args: Any, **fields: Any) -> None:
-    """Drop the line."""
+    """Discard a log event."""
 
 
 def _address(made: Deployment) -> Listening:
     return made.options[0].store.address
 
 
-async def _execute(made: Deployment, late: list[_Write]) -> None:
-    """Let the store execute what it got before, if its lease still runs."""
+async def _execute_late(made: Deployment, late: list[_Write]) -> None:
+    """Execute a dropped write now, if its lease has not ended."""
     assert late
     with contextlib.suppress(StoreError):
         await StoreClient(_address(made)).put(*late[0])
@@ -177,9 +170,9 @@
     return fields
 
 
-def _run_of(store: StoreStandIn, key: str) -> object:
+def _incarnation_of(store: StoreStandIn, key: str) -> object:
     return _content(store, key).get('incarnation')
 
 
-def _is_marked(store: StoreStandIn) -> bool:
+def _is_leaving(store: StoreStandIn) -> bool:
     return bool(_content(store, _KEY).get('leaving'))
--- a/tests/platform/test_links.py
+++ b/tests/platform/test_links.py
@@ -1,17 +1,11 @@
 """Streams between instances over real connections.
 
-In a play seven instances stopped in turn, one of them was killed right after
-its start, and a workspace ran above its quota for 8 s. One instance never sent
-to the one that had been killed again, so neither heard the other: each used
-6 of 7 parts of the quota without the other's use.
-
-Evidence: the restarted one logged peer_down, the peer does not answer, every
-1.2 s for 6 s, its peer nothing; both logged fleet_counted with 7 registered
-and 6 heard to the end.
-
-Cause: a stream that ends between two writes makes the next write raise
-InvalidStateError, which the task that sends did not take for a loss; it ended
-without a line. Only an entry that went and came made a new one.
+A stream that ends between two writes makes the next write raise
+InvalidStateError. The sending task did not handle it and ended without a log
+line, and only a new registration of the peer started another one. So an
+instance never sent to a restarted peer again. In a fleet of seven neither of
+the two counted the other's use of quotas, and a workspace exceeded its quota
+for 8 s.
 """
 
 import asyncio
@@ -26,7 +20,7 @@
 
 
 def _ignore(*_: object) -> None:
-    """Take anything."""
+    """Ignore any call."""
 
 
 def _no_state() -> bytes:
@@ -37,24 +31,22 @@
     return PeerLinks(name, incarnation, _ignore, _ignore, _ignore, _ignore)
 
 
-async def test_turns_are_as_usual_once_the_library_is_loaded() -> None:
-    """Also where two load it at a time: each wake-up would cost more."""
-    usual_s = sys.getswitchinterval()
+async def test_the_switch_interval_is_restored_after_loading() -> None:
+    """Even if two imports overlap; a short interval slows every wake-up."""
+    default_s = sys.getswitchinterval()
     one, other = _links('a', 'a1'), _links('b', 'b1')
     first, second = (f'{HOST}:{port}' for port in free_ports(2))
     await asyncio.gather(
         one.listen(first, _no_state),
         other.listen(second, _no_state),
     )
-    assert sys.getswitchinterval() == usual_s
+    assert sys.getswitchinterval() == default_s
     await one.close()
     await other.close()
 
 
-async def test_a_stream_is_opened_anew_to_one_that_ended_and_came_back() -> (
-    None
-):
-    """Its entry may stay all the while, so nothing else renews the stream."""
+async def test_a_stream_is_reopened_to_a_restarted_peer() -> None:
+    """The peer may stay registered, so nothing else reopens the stream."""
     first, second = (f'{HOST}:{port}' for port in free_ports(2))
     one, other = _links('a', 'a1'), _links('b', 'b1')
     await one.listen(first, _no_state)
@@ -75,11 +67,12 @@
     await again.close()
 
 
-async def test_the_echo_of_an_earlier_run_is_no_answer() -> None:
-    """A restart may begin the steady time anew; a peer echoes the old one.
+async def test_the_echo_of_an_earlier_run_is_ignored() -> None:
+    """After a restart of the clock, a peer may echo a timestamp in the future.
 
-    Taken for an answer it would hold for as long as the earlier run had
-    lasted: nothing admitted here would count as unknown to others.
+    If it counted as an answer, the peer would seem up to date for as long as
+    the earlier run had lasted, and nothing admitted here would count as unknown
+    to others.
     """
     now = asyncio.get_running_loop().time()
     links = _links('a', 'a2')
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file and desired state, right and wrong."""
+"""Parsing of the settings file and of the desired state."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 from tests.platform.harness import desired
 
 _ROOT = Path(__file__).resolve().parent.parent.parent
-_GOOD = """
+_VALID = """
 node: "front-a-1"
 zone: "a"
 region: "r"
@@ -37,11 +37,11 @@
 
 
 @pytest.mark.parametrize('form', ['yaml', 'json'])
-def test_names_and_units_are_translated(tmp_path: Path, form: str) -> None:
+def test_settings_are_converted_to_options(tmp_path: Path, form: str) -> None:
     path = tmp_path / 'settings.yaml'
-    path.write_text(_GOOD)
+    path.write_text(_VALID)
     if form == 'json':
-        path.write_text(json.dumps(yaml.safe_load(_GOOD)))
+        path.write_text(json.dumps(yaml.safe_load(_VALID)))
     options = load_options(path)
     assert options.instance == 'front-a-1'
     assert str(options.locate) == '127.0.0.1:8220'
@@ -54,7 +54,7 @@
     assert options.cores == pytest.approx(1.074)
 
 
-_WRONG = [
+_INVALID = [
     ('node: "front-a-1"', '', 'node: is required (example: node: "front'),
     (
         '"127.0.0.1:8221"',
@@ -71,22 +71,22 @@
     ('8225', '0', 'platform.address: a port is at most 65535 (example: '),
     ('max-fds: 4100', 'max-fds: 0', 'limits.max-fds: Expected `int` >= 1'),
     ('zone: "a"', 'zone: [', 'no valid YAML'),
-    (_GOOD, '', 'the file: Expected `object`, got `null`'),
-    (_GOOD, '{"node": "front-a-1"}', 'zone: is required (example: zone: '),
-    (_GOOD, '{"node": ', 'no valid YAML'),
-    (_GOOD, '[' * 100_000, 'no valid YAML'),
+    (_VALID, '', 'the file: Expected `object`, got `null`'),
+    (_VALID, '{"node": "front-a-1"}', 'zone: is required (example: zone: '),
+    (_VALID, '{"node": ', 'no valid YAML'),
+    (_VALID, '[' * 100_000, 'no valid YAML'),
 ]
 
 
-@pytest.mark.parametrize(('old', 'new', 'text'), _WRONG)
-def test_a_wrong_file_is_one_clear_line(
+@pytest.mark.parametrize(('old', 'new', 'text'), _INVALID)
+def test_an_invalid_file_gives_a_one_line_message(
     tmp_path: Path,
     old: str,
     new: str,
     text: str,
 ) -> None:
     path = tmp_path / 'settings.yaml'
-    path.write_text(_GOOD.replace(old, new))
+    path.write_text(_VALID.replace(old, new))
     with pytest.raises(SettingsError) as caught:
         load_options(path)
     assert text in str(caught.value)
@@ -94,12 +94,12 @@
 
 
 @pytest.mark.parametrize('case', ['missing', 'taken'])
-def test_the_process_exits_with_2(tmp_path: Path, case: str) -> None:
+def test_a_failed_start_exits_with_status_2(tmp_path: Path, case: str) -> None:
     path = tmp_path / 'settings.yaml'
     with socket.create_server(('127.0.0.1', 0)) as other:
         if case == 'taken':
             port = str(other.getsockname()[1])
-            path.write_text(_GOOD.replace('8221', port))
+            path.write_text(_VALID.replace('8221', port))
         done = subprocess.run(
             (sys.executable, _ROOT / 'deploy' / 'entry.py'),
             env={**os.environ, 'TALLYHALL_CONFIG': str(path)},
@@ -135,7 +135,7 @@
     'raw',
     [b'', b'{}', b'{"version": 1}', b'[]', b'\xff', b'{"version":"x"}'],
 )
-def test_bad_values_are_refused(raw: bytes) -> None:
+def test_invalid_values_raise_decode_error(raw: bytes) -> None:
     with pytest.raises(DecodeError):
         decode_state(raw)
     with pytest.raises(DecodeError):
--- a/tests/platform/test_silent_store.py
+++ b/tests/platform/test_silent_store.py
@@ -1,17 +1,12 @@
-"""A connection to the store that goes silent while no call is made on it.
-
-The failure: in a large fleet (30 instances, a bound on contact of 3 s) the
-connection goes silent at 0 s, in the pause of 1.2 s between two watches. An
-upstream is removed at 0.9. A watch of 2.0 s goes out on the dead connection
-at 1.2 and is given up at 3.7; the removal is read at 3.8, held, and in force
-at 4.00. New connections worked all along: the bound was 3.0.
-
-The cause: the pause was left out where watch, time limit and repetition were
-fitted into the bound; and the doubt about removals counted the bound from
-the start of the lost call, although its connection was dead before that.
-
-The evidence: the same course with plain numbers; 3.15 s with 5 instances and
-heartbeats of 1.0 s, 3.80 s with 30 and heartbeats of 2.4 s.
+"""A connection to the store that breaks unnoticed between two calls.
+
+With 30 instances and `contact_s` of 3 s, a removal was applied only 4.0 s
+after the connection broke: the pause between two watches was not counted when
+the watch, its timeout and its repetition were fitted into that bound. The hold
+on removals was also counted from the start of the failed call, although its
+connection had broken before. Reproduced with fixed numbers, the delay was
+3.15 s with 5 instances and heartbeats of 1.0 s, and 3.80 s with 30 instances
+and heartbeats of 2.4 s.
 """
 
 import asyncio
@@ -51,30 +46,30 @@
     ('instances', 'heartbeat_s'),
     [(5, 1.0), (5, 1.2), (30, 1.2), (30, 2.4)],
 )
-async def test_a_connection_that_dies_in_a_pause_keeps_the_bound(
+async def test_a_connection_lost_between_watches_keeps_the_bound(
     instances: int,
     heartbeat_s: float,
 ) -> None:
     loop = asyncio.get_running_loop()
-    async with _Path.open(instances) as path:
-        hears = _Hears()
-        async with _following(path.address, hears, heartbeat_s):
-            # The read of all, a probe and one whole watch.
-            await until(lambda: hears.confirmed >= 3, 10)
-            confirmed = hears.confirmed
-            await until(lambda: hears.confirmed > confirmed, 5)
-            assert hears.upstreams
-            # The pause has just begun.
-            silent_at = loop.time()
-            path.silence()
+    async with _Relay.open(instances) as relay:
+        recorder = _Recorder()
+        async with _following(relay.address, recorder, heartbeat_s):
+            # The full read, a probe and one complete watch.
+            await until(lambda: recorder.confirmed >= 3, 10)
+            confirmed = recorder.confirmed
+            await until(lambda: recorder.confirmed > confirmed, 5)
+            assert recorder.upstreams
+            # The pause between two watches has just begun.
+            went_silent_at = loop.time()
+            relay.silence()
             await asyncio.sleep(0.2)
-            path.store.remove('servers/u')
-            await until(lambda: not hears.upstreams)
-            in_force_s = loop.time() - silent_at
+            relay.store.remove('servers/u')
+            await until(lambda: not recorder.upstreams)
+            in_force_s = loop.time() - went_silent_at
             assert in_force_s <= _CONTACT_S
 
 
-class _Hears:
+class _Recorder:
     """Counts confirmations and keeps the upstreams."""
 
     def __init__(self) -> None:
@@ -82,33 +77,33 @@
         self.upstreams: tuple[Upstream, ...] = ()
 
     def on_state(self, state: DesiredState) -> None:
-        """Take nothing: only upstreams matter here."""
+        """Ignore the state: only upstreams matter here."""
 
     def on_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
         self.upstreams = upstreams
 
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
-        """Take nothing: the follower itself counts them."""
+        """Ignore the instances."""
 
     def on_use(self, use: Written) -> None:
-        """Take nothing."""
+        """Ignore the use of quotas."""
 
     def on_confirmed(self, asked_at: float) -> None:
         self.confirmed += 1
 
     def on_store(self, *, reachable: bool) -> None:
-        """Take nothing."""
+        """Ignore whether the store is reachable."""
 
 
 @contextlib.asynccontextmanager
 async def _following(
     address: Listening,
-    hears: _Hears,
+    recorder: _Recorder,
     heartbeat_s: float,
 ) -> AsyncIterator[None]:
     follower = Follower(
         StoreClient(address),
-        hears,
+        recorder,
         _no_log,
         random.Random(1),
         Absence(heartbeat_s, _CONTACT_S),
@@ -120,23 +115,23 @@
 
 
 def _no_log(*args: Any, **fields: Any) -> None:
-    """Drop the line."""
+    """Discard a log event."""
 
 
-class _Path:
-    """A store behind a relay whose open connections can go silent."""
+class _Relay:
+    """A store behind a TCP relay whose open connections can go silent."""
 
     def __init__(self, store: StoreStandIn, store_at: Listening) -> None:
         self.store = store
         self.address = Listening(HOST, free_ports(1)[0])
         self._store_at = store_at
-        self._open: set[asyncio.Task[None]] = set()
+        self._forwarders: set[asyncio.Task[None]] = set()
         self._writers: list[asyncio.StreamWriter] = []
 
     @classmethod
     @contextlib.asynccontextmanager
-    async def open(cls, instances: int) -> AsyncIterator['_Path']:
-        """Start a store with that many instances and one upstream."""
+    async def open(cls, instances: int) -> AsyncIterator['_Relay']:
+        """Start a store with this many instances and one upstream."""
         store = StoreStandIn()
         store_at = Listening(HOST, free_ports(1)[0])
         await store.listen(store_at.host, store_at.port)
@@ -144,38 +139,38 @@
             name = f'entry-{number}'
             store.put(f'tallyhall/instances/{name}', _entry(name))
         store.put('servers/u', _UPSTREAM)
-        path = cls(store, store_at)
-        host, port = path.address.host, path.address.port
-        server = await asyncio.start_server(path.relay, host, port)
-        yield path
+        relay = cls(store, store_at)
+        host, port = relay.address.host, relay.address.port
+        server = await asyncio.start_server(relay.serve, host, port)
+        yield relay
         server.close()
-        path.silence()
-        for writer in path._writers:
+        relay.silence()
+        for writer in relay._writers:
             writer.close()
         store.close()
 
     def silence(self) -> None:
-        """Pass nothing on any more on the connections that are open."""
-        for task in self._open:
+        """Stop forwarding on the open connections without closing them."""
+        for task in self._forwarders:
             task.cancel()
-        self._open.clear()
+        self._forwarders.clear()
 
-    async def relay(
+    async def serve(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Pass on what one connection brings, in both directions."""
+        """Forward one connection in both directions."""
         there = await asyncio.open_connection(
             self._store_at.host,
             self._store_at.port,
         )
         self._writers += (writer, there[1])
-        self._open.add(asyncio.create_task(_pass_on(reader, there[1])))
-        self._open.add(asyncio.create_task(_pass_on(there[0], writer)))
+        self._forwarders.add(asyncio.create_task(_forward(reader, there[1])))
+        self._forwarders.add(asyncio.create_task(_forward(there[0], writer)))
 
 
-async def _pass_on(
+async def _forward(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
--- a/tests/platform/test_store_calls.py
+++ b/tests/platform/test_store_calls.py
@@ -1,4 +1,4 @@
-"""How often the store was called, and why."""
+"""Counts of calls to the store by kind, cause and outcome."""
 
 import json
 import pathlib
@@ -31,7 +31,7 @@
     )
 
 
-def test_each_start_counts_with_what_it_told_last() -> None:
+def test_the_last_report_of_each_run_is_counted() -> None:
     lines = [
         _line(0, 'a', 'a1', watch=1),
         _line(2, 'a', 'a1', watch=3, lease=1),
@@ -46,7 +46,7 @@
     assert len(list(calls_lines(found))) == 3
 
 
-def test_no_line_of_a_call_is_an_error(tmp_path: pathlib.Path) -> None:
+def test_a_log_without_calls_is_an_error(tmp_path: pathlib.Path) -> None:
     path = tmp_path / 'log'
     path.write_text('nothing\n')
     assert CommandTester(CallsCommand()).execute(str(path)) == EXIT_FAILED
--- a/tests/platform/test_store_disturbed.py
+++ b/tests/platform/test_store_disturbed.py
@@ -1,4 +1,4 @@
-"""What binds an instance also while the store is in disturbance."""
+"""Guarantees that hold even while the store is unavailable."""
 
 import asyncio
 
@@ -7,18 +7,18 @@
 
 from tests.platform.harness import PLAIN, Caller, Deployment, deployment, until
 
-_GONE = 'servers/plain-1'
-# Longer than two heartbeats and a watch, so that entries may have lapsed.
-_AWAY_S = 2.2
-# A change may take this long here, which is less than a doubt lasts.
+_REMOVED_KEY = 'servers/plain-1'
+# Longer than two heartbeats and a watch, so that entries may have expired.
+_OUTAGE_S = 2.2
+# Time limit for a change, shorter than removals are held after an outage.
 _CHANGE_S = 1.2
 
 
-async def test_who_has_read_a_removal_is_bound_by_it() -> None:
-    """A removal that was read is in force when a change must be.
+async def test_a_removal_is_applied_in_time_after_an_outage() -> None:
+    """A removal that was read is applied within `change_s`.
 
-    The doubt whether an entry only lapsed lasted 2.2 s from the return of
-    the store, however short the time for changes was.
+    Removals used to be held for 2.2 s after the return of the store, even if
+    the time limit for changes was shorter.
     """
     async with deployment(
         contact_s=9,
@@ -28,20 +28,20 @@
         await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
         await made.ready()
-        await _away(made)
-        # The return is noticed 0.8 s late at the most.
+        await _outage(made)
+        # The return of the store is noticed within 0.8 s.
         await until(
             lambda: made.instances[0].usable_upstreams == 1,
             0.8 + _CHANGE_S,
         )
 
 
-async def test_what_lapsed_and_comes_back_is_used_all_along() -> None:
+async def test_an_expired_entry_that_returns_is_used_throughout() -> None:
     async with deployment(change_s=4, heartbeat_s=0.4) as made:
         await made.add_engine('plain-0', PLAIN)
         await made.add_engine('plain-1', PLAIN)
         await made.ready()
-        await _away(made)
+        await _outage(made)
         for _ in range(10):
             await asyncio.sleep(0.1)
             assert made.instances[0].usable_upstreams == 2
@@ -50,29 +50,29 @@
         assert made.instances[0].usable_upstreams == 2
 
 
-async def test_a_stop_without_a_store_loses_nothing_without_a_key() -> None:
-    """Safe and unsafe requests are answered whole, as on any stop."""
+async def test_stopping_without_the_store_loses_no_public_request() -> None:
+    """Requests without a key are answered completely, as at any stop."""
     async with deployment(grace_s=4) as made:
         engine = await made.add_engine('plain-0', PLAIN, first_s=0.05)
         await made.ready()
         made.store.fault = StoreFault.silent
-        await asyncio.sleep(_AWAY_S)
+        await asyncio.sleep(_OUTAGE_S)
         stop = asyncio.create_task(made.instances[0].stop())
-        statuses = await _visit_until(made, engine, stop)
+        statuses = await _ask_until(made, engine, stop)
         assert 200 in statuses
-        # What is refused says so and was not run; nothing is cut.
+        # Refused requests are answered and not executed; none is cut off.
         assert set(statuses) <= {200, 503}
 
 
-async def _away(made: Deployment) -> None:
-    """Lose the store for a while, in which an upstream's entry goes."""
+async def _outage(made: Deployment) -> None:
+    """Make the store silent for a while and remove an upstream's entry."""
     made.store.fault = StoreFault.silent
-    await asyncio.sleep(_AWAY_S)
-    made.store.remove(_GONE)
+    await asyncio.sleep(_OUTAGE_S)
+    made.store.remove(_REMOVED_KEY)
     made.store.fault = StoreFault.none
 
 
-async def _visit_until(
+async def _ask_until(
     made: Deployment,
     engine: EngineStandIn,
     stop: asyncio.Task[None],
@@ -98,7 +98,7 @@
     return statuses
 
 
-async def test_one_that_knows_nothing_sends_no_callers_to_itself() -> None:
+async def test_an_instance_without_state_locates_nothing() -> None:
     async with deployment() as made:
         await made.ready()
         made.store.fault = StoreFault.silent
