--- a/packages/platform/src/tallyhall_platform/addresses.py
+++ b/packages/platform/src/tallyhall_platform/addresses.py
@@ -20,7 +20,7 @@
         raise ValueError(f'{text[:_MAX_SHOWN]!r} is not IP:PORT')
     port = int(digits[:_MAX_PORT_DIGITS])
     if not 0 < port <= _MAX_PORT:
-        raise ValueError(f'a port is at most {_MAX_PORT}')
+        raise ValueError(f'a port must be between 1 and {_MAX_PORT}')
     try:
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError) as exc:
--- a/packages/platform/src/tallyhall_platform/decode.py
+++ b/packages/platform/src/tallyhall_platform/decode.py
@@ -52,7 +52,8 @@
     prefix: Annotated[str, msgspec.Meta(pattern='^/')]
     kind: Literal['safe', 'non_idempotent', 'streaming']
     timeout_ms: Milliseconds = _DEFAULT_TIMEOUT_MS
-    # Objective for the time to the first byte.
+    # Objective for the time to the first byte, within which an answer has its
+    # full benefit.
     slo_ms: Milliseconds = _DEFAULT_OBJECTIVE_MS
     priority: int = 0
     service: str | None = None
--- a/packages/platform/src/tallyhall_platform/entries.py
+++ b/packages/platform/src/tallyhall_platform/entries.py
@@ -40,7 +40,7 @@
     """Decode the entry under an instance's key; raise DecodeError."""
     entry = parse_json(raw, InstanceEntry)
     if entry.instance != instance:
-        raise DecodeError(f'instance: not {instance}')
+        raise DecodeError(f'instance: expected {instance}')
     try:
         parse_address(entry.front)
         parse_address(entry.peer)
--- a/packages/platform/src/tallyhall_platform/follow.py
+++ b/packages/platform/src/tallyhall_platform/follow.py
@@ -40,8 +40,8 @@
 # Part of `contact_s` that a watch must leave free. A watch that gets no answer
 # is given up within 0.6 s of its end, and the rest is for the call that
 # replaces it; the time for which its connection was idle before counts as
-# well. A watch below the minimum saves nothing, as no call times out in less
-# than a second.
+# well. A watch shorter than the minimum costs more than it gains, as no call
+# times out in less than a second.
 _LOST_WATCH_ALLOWANCE_S = 0.9
 _MIN_WATCH_S = 0.3
 # Pause between two watches, so that changes in quick succession, such as those
--- a/packages/platform/src/tallyhall_platform/registry.py
+++ b/packages/platform/src/tallyhall_platform/registry.py
@@ -93,15 +93,15 @@
         """Keep the entry registered until cancelled."""
         await self._run_periodically(self._step)
 
-    async def leave(self, life_s: float) -> None:
-        """Mark the entry as leaving for the `life_s` seconds that remain.
+    async def leave(self, remaining_s: float) -> None:
+        """Mark the entry as leaving for the remaining lifetime of the process.
 
         One lease for all of this time costs two calls; renewals would cost
         ten. The use of quotas is still written until cancelled: if all
         instances stop, their successors have no peer to ask for it.
         """
         self._entry = msgspec.structs.replace(self._entry, leaving=True)
-        self._lease_s = max(self._lease_s, life_s)
+        self._lease_s = max(self._lease_s, remaining_s)
         await self._run_periodically(self._leaving_step)
 
     async def end(self, within_s: float) -> None:
--- a/packages/platform/src/tallyhall_platform/rollouts.py
+++ b/packages/platform/src/tallyhall_platform/rollouts.py
@@ -81,7 +81,7 @@
         return None
     order = parse_json(change.content, _Order)
     if order.service != service_of(change.key):
-        raise DecodeError(f'service: not {service_of(change.key)}')
+        raise DecodeError(f'service: expected {service_of(change.key)}')
     return RolloutOrder(
         order.service,
         order.target,
--- a/packages/platform/src/tallyhall_platform/settings.py
+++ b/packages/platform/src/tallyhall_platform/settings.py
@@ -93,7 +93,7 @@
         ) from exc
     except (ValueError, RecursionError) as exc:
         first = str(exc).partition('\n')[0]
-        raise SettingsError(f'{path}: no valid YAML: {first}') from exc
+        raise SettingsError(f'{path}: invalid YAML: {first}') from exc
 
 
 def _parse_document(raw: bytes) -> Any:
--- a/packages/platform/src/tallyhall_platform/view.py
+++ b/packages/platform/src/tallyhall_platform/view.py
@@ -114,9 +114,9 @@
         # All changes up to this revision are known; None before the first
         # full read.
         self.cursor: int | None = None
-        # Changes in the answer being processed were made after this time: the
-        # answers before it were complete up to then. It may be later than the
-        # time of the request.
+        # The view was complete up to this time before the answer that is being
+        # processed, so the changes in that answer were made later. Unlike
+        # `followed_at`, it is later than the request of the previous answer.
         self._complete_at = float('-inf')
         self._listener = listener
         self._log = log
@@ -165,7 +165,7 @@
         self._finish_update(asked_at)
         self._complete_at = self._loop.time()
 
-    # -- from and for other instances
+    # -- exchange with other instances
 
     def take_news(self, news: News, asked_at: float) -> bool:
         """Apply relayed changes; return whether they connect to the cursor.
@@ -213,7 +213,7 @@
             self._release_timer.cancel()
             self._release_timer = None
 
-    # -- inner steps
+    # -- internals
 
     def _finish_update(self, asked_at: float) -> None:
         self._release_removals(self._loop.time())
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -67,14 +67,22 @@
         'listen.directory: is required (example: directory: ',
     ),
     ('[7600, 7615]', '"x"', 'port-range: Expected `array`, got `str` (ex'),
-    ('8224', '99999', 'listen.ready: a port is at most 65535 (example: '),
-    ('8225', '0', 'platform.address: a port is at most 65535 (example: '),
+    (
+        '8224',
+        '99999',
+        'listen.ready: a port must be between 1 and 65535 (example: ',
+    ),
+    (
+        '8225',
+        '0',
+        'platform.address: a port must be between 1 and 65535 (example: ',
+    ),
     ('max-fds: 4100', 'max-fds: 0', 'limits.max-fds: Expected `int` >= 1'),
-    ('zone: "a"', 'zone: [', 'no valid YAML'),
+    ('zone: "a"', 'zone: [', 'invalid YAML'),
     (_VALID, '', 'the file: Expected `object`, got `null`'),
     (_VALID, '{"node": "front-a-1"}', 'zone: is required (example: zone: '),
-    (_VALID, '{"node": ', 'no valid YAML'),
-    (_VALID, '[' * 100_000, 'no valid YAML'),
+    (_VALID, '{"node": ', 'invalid YAML'),
+    (_VALID, '[' * 100_000, 'invalid YAML'),
 ]
 
 
