--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -98,10 +98,10 @@
         decode_upstream('i-1', json.dumps(fields).encode())
 
 
-@pytest.mark.parametrize(('name', 'invalid'), _INVALID_FIELDS)
-def test_an_invalid_field_is_rejected(name: str, invalid: Any) -> None:
+@pytest.mark.parametrize(('name', 'wrong'), _INVALID_FIELDS)
+def test_an_invalid_field_is_rejected(name: str, wrong: Any) -> None:
     with pytest.raises(DecodeError):
-        decode_upstream('i-1', json.dumps(_VALID | {name: invalid}).encode())
+        decode_upstream('i-1', json.dumps(_VALID | {name: wrong}).encode())
 
 
 @given(st.sampled_from(list(_VALID)), _json)
