--- a/packages/entry/src/tallyhall_entry/__init__.py
+++ b/packages/entry/src/tallyhall_entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process of an entry instance: wiring, logs, metrics, signals."""
+"""The entry instance process: wiring, logging, metrics and signal handling."""
--- a/packages/entry/src/tallyhall_entry/clock.py
+++ b/packages/entry/src/tallyhall_entry/clock.py
@@ -1,4 +1,4 @@
-"""The clock by which an instance judges how old something is."""
+"""An event loop whose clock includes the time the machine is suspended."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import time
 
 
-class SinceBootLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time goes on while its machine is suspended.
+class BoottimeEventLoop(asyncio.SelectorEventLoop):
+    """An event loop whose clock keeps running while the machine is suspended.
 
-    The usual steady clock does not count that time: after a suspension keys,
-    quotas, entries and what others told would be held for as fresh as before.
+    The default monotonic clock does not include that time: after a suspension
+    API keys, quotas, entries and peer reports would seem as fresh as before.
     """
 
     def time(self) -> float:
-        """Return the seconds since boot, with those of suspensions."""
+        """Return the seconds since boot, including time spent suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/entry/src/tallyhall_entry/beliefs.py
+++ b/packages/entry/src/tallyhall_entry/cluster_state.py
@@ -1,4 +1,4 @@
-"""What an instance believes about the world, as the store tells it."""
+"""Local copy of the cluster state that an instance reads from the store."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from .metrics import Metrics
 
 
-class Beliefs:
-    """Passes news from the store on to the parts that act on it."""
+class ClusterState:
+    """Forwards store updates to the components that depend on them."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Feed these parts."""
+        """Forward store updates to the given components."""
         self.entries: tuple[InstanceEntry, ...] = ()
         self.confirmed_at = float('-inf')
         self.count = FleetCount()
@@ -52,7 +52,7 @@
         self._loop = asyncio.get_running_loop()
 
     def on_state(self, state: DesiredState) -> None:
-        """Take a newer desired state."""
+        """Apply a newer desired state."""
         self._gate.take_state(state)
         self._dispatcher.take_state(state)
         limits = state.limits
@@ -71,56 +71,56 @@
         )
 
     def on_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
-        """Take all upstreams as they stand."""
-        self._end_connections(upstreams)
-        self._log_changes(frozenset(upstreams))
+        """Apply the complete list of upstreams."""
+        self._close_connections(upstreams)
+        self._log_upstream_changes(frozenset(upstreams))
         self.upstreams = frozenset(upstreams)
         self._dispatcher.take_upstreams(upstreams)
 
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
-        """Take all registered instances."""
+        """Apply the complete list of registered instances."""
         self.entries = entries
         self._known |= {entry.instance: entry for entry in entries}
         self._membership.take_entries(
             {entry.instance: entry.leaving for entry in entries},
             self._loop.time(),
         )
-        self.count = self._counted()
-        self._take_peers()
+        self.count = self._count_fleet()
+        self._update_peers()
         self._log.event(Event.instances_changed, known=len(entries))
 
     @property
-    def offered(self) -> tuple[InstanceEntry, ...]:
-        """Return the entries of the instances that callers are sent to."""
+    def advertised(self) -> tuple[InstanceEntry, ...]:
+        """Return the entries of the instances advertised to clients."""
         return tuple(
             entry
             for entry in self.entries
-            if not entry.leaving and not self._says_leaving(entry)
+            if not entry.leaving and not self._reports_leaving(entry)
         )
 
     def look(self) -> None:
-        """Count the fleet anew; who is heard changes with time."""
-        counted = self._counted()
+        """Recount the fleet, as the reachable peers change over time."""
+        counted = self._count_fleet()
         if counted != self.count:
             self.count = counted
-            self._take_peers()
+            self._update_peers()
 
     def on_use(self, use: Written) -> None:
-        """Take what was written of the use of all before this run."""
+        """Apply the fleet's quota usage that was stored before this run."""
         self._gate.quotas.recall(use, self._loop.time())
 
     def on_confirmed(self, asked_at: float) -> None:
-        """Take that the desired state was in force at this time."""
+        """Record that the desired state was current at this time."""
         self.confirmed_at = asked_at
         self._gate.freshness.confirm(asked_at)
 
     def on_store(self, *, reachable: bool) -> None:
-        """Take that the store was lost or is back."""
+        """Record that the store became unreachable or reachable again."""
         self._metrics.store_up = int(reachable)
         event = Event.kv_up if reachable else Event.kv_down
         self._log.event(event, age=self._gate.freshness.age(self._loop.time()))
 
-    def _end_connections(self, upstreams: tuple[Upstream, ...]) -> None:
+    def _close_connections(self, upstreams: tuple[Upstream, ...]) -> None:
         usable = {one.incarnation for one in upstreams if not one.leaving}
         starts = {one.name: one.started_ms for one in upstreams}
         for known in self.upstreams:
@@ -129,14 +129,14 @@
             elif known.incarnation not in usable:
                 self._conns.drop(known.incarnation)
 
-    def _counted(self) -> FleetCount:
+    def _count_fleet(self) -> FleetCount:
         heard = {
             peer.name: peer.heard_at for peer in self._links.peers.values()
         }
         return self._membership.count(heard, self._loop.time())
 
-    def _take_peers(self) -> None:
-        """Keep streams to all that count, also to those not registered."""
+    def _update_peers(self) -> None:
+        """Keep streams to all fleet members, even to unregistered ones."""
         members = self.count.members
         self._gate.instances = len(members)
         for gone in self._known.keys() - members:
@@ -153,23 +153,23 @@
             },
         )
 
-    def _says_leaving(self, entry: InstanceEntry) -> bool:
-        # Its own word comes sooner than the store's.
+    def _reports_leaving(self, entry: InstanceEntry) -> bool:
+        # A peer's own batches report this earlier than the store does.
         peer = self._links.peers.get(entry.instance)
         if peer is None or peer.incarnation != entry.incarnation:
             return False
         return peer.leaving
 
-    def _log_changes(self, upstreams: frozenset[Upstream]) -> None:
-        came = upstreams - self.upstreams
-        went = {upstream.incarnation for upstream in self.upstreams}
-        went -= {upstream.incarnation for upstream in upstreams}
+    def _log_upstream_changes(self, upstreams: frozenset[Upstream]) -> None:
+        added = upstreams - self.upstreams
+        removed = {upstream.incarnation for upstream in self.upstreams}
+        removed -= {upstream.incarnation for upstream in upstreams}
         self._log.event(
             Event.upstreams_changed,
             known=len(upstreams),
             changed=sorted(
                 f'{upstream.incarnation}{"-" if upstream.leaving else "+"}'
-                for upstream in came
+                for upstream in added
             ),
-            gone=sorted(went),
+            gone=sorted(removed),
         )
--- a/packages/entry/src/tallyhall_entry/answers.py
+++ b/packages/entry/src/tallyhall_entry/endpoints.py
@@ -1,4 +1,4 @@
-"""The small answers of an instance: ready, locate, metrics."""
+"""HTTP handlers for the readiness, locate and metrics endpoints."""
 
 from __future__ import annotations
 
@@ -8,65 +8,66 @@
 from tallyhall_edge.exchange import Exchange
 from tallyhall_platform.locate import encode_addresses
 
-from .beliefs import Beliefs
+from .cluster_state import ClusterState
 from .locate import front_addresses
 from .metrics import Metrics
 
-# How long callers keep an answer about where to connect, seconds. Short, so
-# that a stopped instance is left soon; some callers keep it three times as
-# long.
-LOCATE_KEEP_S = 1
+# Time for which clients may cache a locate response, in seconds. It is short
+# so that clients soon stop using an instance that has stopped; some clients
+# cache the response three times as long.
+LOCATE_CACHE_S = 1
 _OK = (200, b'OK')
 _UNAVAILABLE = (503, b'Service Unavailable')
 
 
-class Answers:
-    """Answers that need nothing but what the instance knows."""
+class Endpoints:
+    """Serves the endpoints that are answered from local state alone."""
 
     def __init__(
         self,
         front: str,
         gate: Gate,
-        beliefs: Beliefs,
+        cluster_state: ClusterState,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
-        """Offer `front` while the instance takes requests."""
+        """Advertise the address `front` until the instance is leaving."""
         self.leaving = False
-        self._own = front
+        self._own_front = front
         self._gate = gate
-        self._beliefs = beliefs
+        self._cluster_state = cluster_state
         self._metrics = metrics
         self._rng = rng
 
     async def ready(self, exchange: Exchange) -> None:
-        """Tell whether the instance takes requests."""
+        """Respond with 200 if the instance accepts requests, else 503."""
         ready = self._gate.version >= 0 and not self.leaving
         exchange.answer(*(_OK if ready else _UNAVAILABLE), (), b'')
 
     async def locate(self, exchange: Exchange) -> None:
-        """Tell where to connect, once this instance knows what is served.
+        """Respond with the addresses that clients may connect to.
 
-        One that starts while the store is away may know for long neither the
-        others nor what to serve; callers then ask another instance.
+        Responds with 503 until a desired state has been read: an instance
+        that starts while the store is unreachable may lack both the instance
+        list and the routes for a long time, so clients must ask another one.
         """
         if self._gate.version < 0:
             exchange.answer(*_UNAVAILABLE, (), b'')
             return
         addresses = front_addresses(
-            self._beliefs.offered,
-            self._own,
+            self._cluster_state.advertised,
+            self._own_front,
             self._rng,
             leaving=self.leaving,
         )
         headers = ((b'Content-Type', b'application/json'),)
-        body = encode_addresses(addresses, LOCATE_KEEP_S)
+        body = encode_addresses(addresses, LOCATE_CACHE_S)
         exchange.answer(*_OK, headers, body)
 
     async def metrics(self, exchange: Exchange) -> None:
-        """Return all metrics as text."""
+        """Respond with all metrics in the Prometheus text format."""
         headers = ((b'Content-Type', b'text/plain; version=0.0.4'),)
-        # Loaded with the first question, not by each start.
+        # Imported on the first scrape to keep startup fast.
         from .exposition import exposed  # noqa: PLC0415, WPS433
 
         exchange.answer(*_OK, headers, exposed(self._metrics))
--- a/packages/entry/src/tallyhall_entry/explain.py
+++ b/packages/entry/src/tallyhall_entry/explain.py
@@ -1,8 +1,7 @@
-"""From a request's id to its cause, out of log lines alone.
+"""Explains the outcome of a request from log lines alone.
 
-Lines may come from many instances, in any order, and with a prefix of the
-collector before the JSON object; lines that are none of ours are passed
-over and counted.
+Lines may come from many instances, in any order, and may have a prefix added
+by a log collector before the JSON object. Lines of other programs are skipped.
 """
 
 from __future__ import annotations
@@ -19,49 +18,49 @@
 _KNOWN_EVENTS = types.MappingProxyType(
     {event.name: int(event) for event in Event},
 )
-_NEEDED = ('time', 'level', 'event', 'instance')
+_REQUIRED_FIELDS = ('time', 'level', 'event', 'instance')
 
-# What an outcome says to an operator. Each text ends without a full stop, so
-# that what was tried may follow.
+# Explanations of outcomes for operators. Each text ends without a full stop
+# because the list of attempted upstreams may be appended.
 _CAUSES: Mapping[str, str] = types.MappingProxyType(
     {
-        'answered': 'It was answered whole',
+        'answered': 'It was answered completely',
         'bad_request': 'Its headers were malformed, nothing was sent',
-        'unknown_route': 'No route of the version in force has its path',
-        'unknown_key': 'No workspace of the version in force has its API key',
+        'unknown_route': 'No route of the active version matches its path',
+        'unknown_key': 'No workspace of the active version has its API key',
         'not_ready': 'The instance had not read a desired state yet',
         'state_not_confirmed': (
             'The desired state had not been confirmed for too long, so its key '
-            'could have been revoked; look at the store at that time'
+            'might have been revoked; check the store at that time'
         ),
         'rate_limited': 'Its workspace had used up its quota',
         'deadline_unreachable': (
-            'It was refused for load: the queue of its service was too long to '
-            'answer in time; it did not run'
+            'It was refused because of load: the queue of its service was too '
+            'long to meet the deadline; it did not run'
         ),
         'no_upstream': 'No upstream of its service could be reached',
-        'upstream_full': 'Every upstream that it was sent to turned it away',
+        'upstream_full': 'Every upstream that it was sent to rejected it',
         'quarantined': (
-            'Upstreams had ended while they ran the same request, so it was '
-            'not sent for now; look for 411 and 412 of its content'
+            'Upstreams had crashed while they ran the same request, so it is '
+            'held back for now; look for events 411 and 412 with its content'
         ),
         'upstream_broken': (
-            'Its upstream broke off without a whole answer; it may have run, '
-            'and what may have run is not sent again on this route'
+            'Its upstream broke off before the answer was complete; it may '
+            'have run, and this route does not retry what may have run'
         ),
-        'upstream_error': 'Its upstream answered with an error of its own',
+        'upstream_error': 'Its upstream responded with an error',
         'broken': (
-            'Its stream broke off in the middle and could not go on elsewhere'
+            'Its stream broke off midway and could not resume elsewhere'
         ),
-        'timed_out': 'Its time was over while an upstream was at work on it',
-        'caller_left': 'Its caller left before the answer was complete',
+        'timed_out': 'It timed out while an upstream was processing it',
+        'caller_left': 'Its client disconnected before the answer was complete',
     }
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """One log line; `fields` holds all of it."""
+    """One parsed log line; `fields` holds the complete JSON object."""
 
     time: str
     instance: str
@@ -70,20 +69,20 @@
 
     @property
     def at_s(self) -> float:
-        """Return the time in seconds since 1970."""
+        """Return the time as a Unix timestamp."""
         return datetime.datetime.fromisoformat(self.time).timestamp()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explanation:
-    """The way of one request, in order, and why it ended as it did."""
+    """The log lines of one request in order, and the cause of its outcome."""
 
     lines: tuple[Line, ...]
     cause: str
 
 
 def read_line(text: str) -> Line | None:
-    """Return a log line, None for a text that is none."""
+    """Parse a log line; return None if the text is not one."""
     start = text.find('{')
     if start < 0:
         return None
@@ -93,7 +92,7 @@
         return None
     if not isinstance(fields, dict):
         return None
-    if any(name not in fields for name in _NEEDED):
+    if any(name not in fields for name in _REQUIRED_FIELDS):
         return None
     return Line(
         str(fields['time']),
@@ -104,10 +103,10 @@
 
 
 def explain(request_id: str, texts: Iterable[str]) -> Explanation | None:
-    """Return what the lines say about a request, None if nothing."""
+    """Explain a request from log lines; return None if none mentions it."""
     found = []
     for text in texts:
-        # Most lines are about other requests and need no parsing.
+        # Skips parsing of most lines, which are about other requests.
         if request_id not in text:
             continue
         line = read_line(text)
@@ -120,28 +119,28 @@
 
 
 def check_line(text: str) -> str | None:
-    """Return what is wrong with a line by the catalogue, None if nothing."""
+    """Check a line against the event catalogue; return the error, if any."""
     line = read_line(text)
     if line is None:
-        return 'no JSON object with time, level, event and instance'
+        return 'not a JSON object with time, level, event and instance'
     if 'number' not in line.fields:
-        # A library's own warning; it has no number.
+        # Warnings logged by libraries have no event number.
         return None
     known = _KNOWN_EVENTS.get(line.event)
     if known is None:
         return f'unknown event {line.event!r}'
     if known != line.fields['number']:
-        return f'{line.event} has number {known}'
+        return f'{line.event} must have number {known}'
     return None
 
 
 def shown(line: Line) -> str:
-    """Return a line as an operator reads it."""
-    left_out = {*_NEEDED, 'number', 'request', 'taskName'}
+    """Format a line for operators."""
+    omitted = {*_REQUIRED_FIELDS, 'number', 'request', 'taskName'}
     rest = ' '.join(
         f'{name}={value}'
         for name, value in line.fields.items()
-        if name not in left_out and value is not None and value != ''
+        if name not in omitted and value is not None and value != ''
     )
     return f'{line.time} {line.instance} {line.event} {rest}'
 
@@ -151,9 +150,9 @@
     if outcome is None:
         return (
             'Its end was not logged: the instance died or lines were dropped '
-            '(look for logs_dropped, and for a start of the instance).'
+            '(look for logs_dropped, and for a restart of the instance).'
         )
-    text = _CAUSES.get(outcome, f'It ended as {outcome}')
+    text = _CAUSES.get(outcome, f'It ended with outcome {outcome}')
     sends = [line for line in lines if line.event == Event.send_ended.name]
     if not sends:
         return f'{text}.'
--- a/packages/entry/src/tallyhall_entry/from_options.py
+++ b/packages/entry/src/tallyhall_entry/from_options.py
@@ -1,4 +1,4 @@
-"""What an instance is made of as its options say: its entry, its gate."""
+"""Builds parts of an instance from its options: its entry, its gate."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from tallyhall_dispatch.retries import RetryLimits
 from tallyhall_platform.entries import InstanceEntry
 
-# Taken off the bound on revoked keys: what a watch may miss while the store
-# compacts its history, and the way of a request to its upstream.
+# Subtracted from the bound on the use of revoked keys: covers what a watch may
+# miss while the store compacts its history, and the time that a request takes
+# to reach its upstream.
 _REVOKE_MARGIN_S = 1.3
-# Random bits that tell two runs of an instance apart.
+# Random bits of the incarnation id, which distinguishes runs of an instance.
 _ID_BITS = 64
 
 
 def own_entry(options: Options, rng: random.Random) -> InstanceEntry:
-    """Return what the store is told of a new run of an instance."""
+    """Return the store entry for a new run of an instance."""
     return InstanceEntry(
         instance=options.instance,
         incarnation=f'{rng.getrandbits(_ID_BITS):016x}',
@@ -32,22 +33,22 @@
 
 
 def freshness_s(options: Options) -> float:
-    """Return how old a confirmation may be, in seconds; 0 for any age."""
+    """Return the maximum age of a confirmation in seconds; 0 for no limit."""
     return max(0, options.bounds.revoke_s - _REVOKE_MARGIN_S)
 
 
 def admits_s(options: Options) -> float:
-    """Return for how long an instance that hears nothing admits, in seconds.
+    """Return for how long an isolated instance admits requests, in seconds.
 
-    Without a bound on revoked keys one that is cut off admits for ever, and
-    one that is dead would hold its part for ever. One window is what a quota
-    is measured over.
+    Without a bound on revoked keys an isolated instance admits indefinitely,
+    and a dead one would keep its share of the quotas indefinitely. The quota
+    window is used instead, the period over which quotas are measured.
     """
     return freshness_s(options) or options.bounds.quota_window_s
 
 
 def new_gate(options: Options, rng: random.Random, now: float) -> Gate:
-    """Return a gate that knows no desired state yet."""
+    """Return a gate that has no desired state yet."""
     bounds = options.bounds
     return Gate(
         Freshness(freshness_s(options)),
--- a/packages/entry/src/tallyhall_entry/instance.py
+++ b/packages/entry/src/tallyhall_entry/instance.py
@@ -1,8 +1,8 @@
-"""One entry instance: its parts, wired, and its start and stop.
+"""Wiring, startup and shutdown of one entry instance.
 
-Nothing here decides about requests. The parts are created once; the store
-feeds them, callers use them, and a signal ends them in order: first callers
-are told to go elsewhere, then what runs is finished, then the process ends.
+No request is handled here. All components are created once and updated from
+the store. Shutdown is graceful: the instance first directs clients to other
+instances, then finishes running requests, and then the process exits.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 from tallyhall_transport.peer import Peer
 from tallyhall_transport.peers import PeerLinks
 
-from .answers import LOCATE_KEEP_S, Answers
-from .beliefs import Beliefs
+from .endpoints import LOCATE_CACHE_S, Endpoints
+from .cluster_state import ClusterState
 from .from_options import admits_s, freshness_s, new_gate, own_entry
 from .guard import shared_guard
 from .logs import BoundedStream, EventLog
 from .metrics import Metrics
-from .news import NewsTalk
+from .store_changes import StoreChangeExchange
 from .orders import Orders
 from .reports import Reports
 from .shared import SharedScheduler
@@ -51,35 +51,39 @@
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
 
-# Waiting longer for a connection than this costs a caller its objective.
-_CONNECT_S = 0.3
-# Callers that know this instance may come for this many times the time for
-# which they were told to keep the answer.
-_KEEPS = 3
-# What a caller sends 3 s after the signal takes at most this long to arrive.
-_WAY_S = 0.1
-_CHORES_S = 0.5
+# Timeout for connecting to an upstream. A longer wait would make the request
+# miss its latency objective.
+_CONNECT_TIMEOUT_S = 0.3
+# Clients may use a cached locate response for up to this many times its
+# lifetime, and so still connect to this instance.
+_MAX_LOCATE_LIFETIMES = 3
+# Maximum time for a request to arrive that a client sends just before its
+# cached locate response expires, 3 s after the signal.
+_MAX_REQUEST_DELAY_S = 0.1
+_MAINTENANCE_INTERVAL_S = 0.5
 _TICK_S = 0.05
-_STOP_LOOK_S = 0.05
-# Others are of use once there is a desired state to serve by, which a store
-# that answers brings within 10 ms; without it they may have it.
-_STATE_S = 0.3
-_STATE_LOOK_S = 0.002
-# What is kept of the time between signal and end by force.
+_STOP_POLL_S = 0.05
+# Peer streams are useful only once there is a desired state. A responsive store
+# delivers it within 10 ms. After this time peers may have it instead.
+_STATE_TIMEOUT_S = 0.3
+_STATE_POLL_S = 0.002
+# Time reserved at the end of the grace period, before the process is killed.
 _STOP_MARGIN_S = 0.4
-# Of that, for the call that removes the entry; the lease does it else.
-_END_LEASE_S = 0.2
-# Part of all descriptors that callers may take; a request in hand needs one
-# more for its upstream, and files, peers and the store take 200.
-_CALLERS_PART = 0.6
-# What the writer of the use of quotas is the owner of.
-_USE = 'use of quotas'
-# Settings that a running process takes over.
-_APPLIED = frozenset(('store', 'bounds'))
+# Part of that margin for the call that revokes the lease and so removes the
+# store entry. If the call fails, the entry is removed when the lease expires.
+_LEASE_REVOKE_TIMEOUT_S = 0.2
+# Fraction of all file descriptors available to client connections. Each running
+# request needs another one for its upstream, and files, peers and the store
+# need 200.
+_CLIENT_DESCRIPTOR_SHARE = 0.6
+# Ownership key: the owner of this name writes the quota usage to the store.
+_USAGE_WRITER_KEY = 'use of quotas'
+# Settings that are applied without a restart.
+_RELOADABLE_SETTINGS = frozenset(('store', 'bounds'))
 
 
 class Instance:
-    """An entry instance on the users' platform."""
+    """An entry instance and all of its components."""
 
     def __init__(
         self,
@@ -87,7 +91,7 @@
         stream: BoundedStream,
         rng: random.Random,
     ) -> None:
-        """Create all parts; nothing is opened yet."""
+        """Create all components without opening any address."""
         self.options = options
         self._loop = asyncio.get_running_loop()
         self.log = EventLog(stream)
@@ -110,7 +114,9 @@
             self._links,
             self.log.event,
         )
-        self._conns = ConnectionPool(PlatformDialect.id_header, _CONNECT_S)
+        self._conns = ConnectionPool(
+            PlatformDialect.id_header, _CONNECT_TIMEOUT_S
+        )
         self._calls = CallCounts()
         self._reports = Reports(
             self._entry.incarnation,
@@ -118,10 +124,10 @@
             self.log,
             self._metrics,
         )
-        self._store_ends = StoreClient(options.store.address, self._calls)
+        self._guard_store = StoreClient(options.store.address, self._calls)
         self._guard = shared_guard(
             self._links,
-            self._store_ends,
+            self._guard_store,
             self._entry.incarnation,
             self.log,
             rng,
@@ -129,16 +135,16 @@
         self._runner = self._new_runner()
         self._front = HttpServer(
             self._runner.handle,
-            self._failed,
+            self._log_request_failure,
             ServerLimits(),
-            int(options.descriptors * _CALLERS_PART),
+            int(options.descriptors * _CLIENT_DESCRIPTOR_SHARE),
         )
         self._membership = Membership(
             options.instance,
             admits_s(options),
             LEAST_UNSEEN_S,
         )
-        self._beliefs = Beliefs(
+        self._cluster_state = ClusterState(
             self._membership,
             self._gate,
             self._dispatcher,
@@ -148,43 +154,47 @@
             self.log,
             self._metrics,
         )
-        self._answers = Answers(
+        self._endpoints = Endpoints(
             str(options.front),
             self._gate,
-            self._beliefs,
+            self._cluster_state,
             self._metrics,
             rng,
         )
         self._servers = (
             self._front,
             *(
-                HttpServer(respond, self._failed, ServerLimits())
+                HttpServer(respond, self._log_request_failure, ServerLimits())
                 for respond in (
-                    self._answers.ready,
-                    self._answers.locate,
-                    self._answers.metrics,
+                    self._endpoints.ready,
+                    self._endpoints.locate,
+                    self._endpoints.metrics,
                 )
             ),
         )
-        self._store_registers = StoreClient(options.store.address, self._calls)
-        self._store_follows = StoreClient(options.store.address, self._calls)
+        self._registration_store = StoreClient(
+            options.store.address, self._calls
+        )
+        self._follower_store = StoreClient(options.store.address, self._calls)
         self._registration = Registration(
-            self._store_registers,
+            self._registration_store,
             self._entry,
             self.log.event,
             rng,
-            # One instance writes for all: each write wakes every watch.
-            WrittenUse(self._gate.quotas, lambda: self._owns(_USE)),
+            # Only one instance writes, as each write wakes every watch.
+            WrittenUse(
+                self._gate.quotas, lambda: self._owns(_USAGE_WRITER_KEY)
+            ),
             options.store.least_lease_s,
-            self._beliefs,
+            self._cluster_state,
         )
         self._absence = Absence(
             options.store.heartbeat_s,
             options.bounds.contact_s,
         )
         self._follower = Follower(
-            self._store_follows,
-            self._beliefs,
+            self._follower_store,
+            self._cluster_state,
             self.log.event,
             rng,
             self._absence,
@@ -200,28 +210,30 @@
             self.log,
         )
         self._follower.view.on_rollout = self._orders.take
-        self._talk = Talk(
+        self._peer_reports = Talk(
             self._gate,
             self._links,
             self._follower.view.take_raw_state,
             self.log,
         )
-        self._news = NewsTalk(options.instance, self._links, self._follower)
-        self._use_news = UseNews(
+        self._store_changes = StoreChangeExchange(
+            options.instance, self._links, self._follower
+        )
+        self._usage_exchange = UseNews(
             self._links,
             self._gate.quotas,
-            self._take_known,
+            self._update_peer_knowledge,
         )
-        self._runner.ask_use = self._use_news.ask
+        self._runner.ask_use = self._usage_exchange.ask
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
 
-    # -- life
+    # -- lifecycle
 
     async def start(self) -> None:
-        """Open all addresses and follow the store; serve from then on.
+        """Listen on all addresses, start background tasks and serve.
 
-        Raises OSError where an address is taken.
+        Raises OSError if an address is already in use.
         """
         options = self.options
         places = (
@@ -239,7 +251,7 @@
         self._spawn('follower', self._follower.run())
         self._spawn('registration', self._registration.run())
         self._spawn('guard', self._guard.run())
-        self._spawn('chores', self._chores())
+        self._spawn('chores', self._run_maintenance())
         self._spawn('tick', self._tick())
         self.log.event(
             Event.started,
@@ -247,37 +259,37 @@
             store=str(options.store.address),
             incarnation=self._entry.incarnation,
         )
-        await self._until_state()
+        await self._wait_for_state()
         await self._links.listen(
             str(options.peer), self._follower.view.raw_state
         )
 
     async def stop(self) -> None:
-        """Send callers elsewhere and finish what runs."""
+        """Direct clients to other instances and finish running requests."""
         if self._stopping:
             return
         began_at = self._loop.time()
-        self._leave()
+        self._begin_leaving()
         grace_s = self.options.bounds.grace_s
         leaving = asyncio.create_task(self._registration.leave(grace_s))
         ends_at = began_at + grace_s - _STOP_MARGIN_S
-        left_at = began_at + _KEEPS * LOCATE_KEEP_S
-        self._runner.begin_stop(Stop(left_at - _WAY_S, ends_at))
+        left_at = began_at + _MAX_LOCATE_LIFETIMES * LOCATE_CACHE_S
+        self._runner.begin_stop(Stop(left_at - _MAX_REQUEST_DELAY_S, ends_at))
         while self._loop.time() < ends_at:
             if self._loop.time() >= left_at and not self._front.busy:
                 break
-            await asyncio.sleep(_STOP_LOOK_S)
+            await asyncio.sleep(_STOP_POLL_S)
         leaving.cancel()
         self._front.close()
         self._front.close_idle()
         await self._links.close()
-        # Last, so that nobody counts this one without hearing it.
-        await self._registration.end(_END_LEASE_S)
+        # Last, so that no peer counts this instance without hearing from it.
+        await self._registration.end(_LEASE_REVOKE_TIMEOUT_S)
         self._reports.log_calls()
         self.log.event(Event.stopped, unfinished=self._front.busy)
 
     def reload(self, options: Options) -> None:
-        """Take changed settings as far as a running process can."""
+        """Apply those changed settings that need no restart."""
         old = self.options
         changed = [
             field.name
@@ -287,9 +299,9 @@
         if not changed:
             return
         self.options = options
-        self._store_follows.move(options.store.address)
-        self._store_registers.move(options.store.address)
-        self._store_ends.move(options.store.address)
+        self._follower_store.move(options.store.address)
+        self._registration_store.move(options.store.address)
+        self._guard_store.move(options.store.address)
         self._gate.freshness.bound_s = freshness_s(options)
         self._absence.heartbeat_s = options.store.heartbeat_s
         self._absence.contact_s = options.bounds.contact_s
@@ -298,11 +310,11 @@
         self.log.event(
             Event.settings_read,
             changed=changed,
-            after_restart=sorted(set(changed) - _APPLIED),
+            after_restart=sorted(set(changed) - _RELOADABLE_SETTINGS),
         )
 
     async def close(self) -> None:
-        """Close everything at once, as a lost process would."""
+        """Close everything at once, as if the process had been killed."""
         for task in self._tasks.values():
             task.cancel()
         self._orders.close()
@@ -312,63 +324,64 @@
         await self._links.close()
 
     def lose_store(self) -> None:
-        """Stop to follow the store; peers are the only source left."""
+        """Stop following the store, so that peers are the only source."""
         self._tasks['follower'].cancel()
 
-    # -- what it knows
+    # -- inspection
 
     @property
     def live_instances(self) -> frozenset[str]:
-        """Return the instances that this one hears, with itself."""
+        """Return the live instances that may own services."""
         return self._scheduler.ownership.live
 
     @property
     def hears(self) -> int:
-        """Return how many instances' use is known here, with its own."""
+        """Return of how many instances, with itself, the usage is known."""
         return self._links.hears
 
     @property
     def counts(self) -> int:
-        """Return of how many instances' use it reckons, with its own."""
+        """Return how many instances share the quotas, including itself."""
         return self._gate.instances
 
     @property
     def state_version(self) -> int:
-        """Return the version in force, -1 before the first."""
+        """Return the active version of the desired state, -1 without one."""
         return self._gate.version
 
     @property
     def upstreams(self) -> frozenset[Upstream]:
-        """Return the upstreams that it knows."""
-        return self._beliefs.upstreams
+        """Return all known upstreams."""
+        return self._cluster_state.upstreams
 
     @property
     def usable_upstreams(self) -> int:
-        """Return how many upstreams take new requests."""
+        """Return how many upstreams accept new requests."""
         return sum(not known.leaving for known in self.upstreams)
 
     def owner(self, service: str) -> str | None:
         """Return the instance that queues a service's jobs."""
         return self._scheduler.ownership.owner(service)
 
-    # -- from other instances
+    # -- peer callbacks
 
     def _on_batch(self, peer: Peer, batch: peers_pb2.Batch) -> None:
-        self._talk.take(peer, batch)
-        self._news.take(peer, batch)
-        self._use_news.take(peer, batch)
+        self._peer_reports.take(peer, batch)
+        self._store_changes.take(peer, batch)
+        self._usage_exchange.take(peer, batch)
         self._guard.take(peer, batch)
         self._scheduler.on_batch(peer, batch)
-        # A store that answers others is not away, whatever this one's way is.
+        # A store that responds to a peer is up, even if it is unreachable from
+        # here.
         now = self._loop.time()
         age = self._gate.freshness.age(now)
         if age is not None:
             self._absence.alive(now - age)
 
     def _fill_batch(self, peer: Peer, batch: peers_pb2.Batch) -> None:
-        self._talk.fill(peer, batch)
-        self._news.fill(peer, batch)
-        self._use_news.fill(peer, batch)
+        self._peer_reports.fill(peer, batch)
+        self._store_changes.fill(peer, batch)
+        self._usage_exchange.fill(peer, batch)
 
     def _on_peer_lost(self, peer: Peer, exc: Exception) -> None:
         self.log.event(Event.peer_down, peer=peer.name, cause=repr(exc)[:100])
@@ -376,19 +389,23 @@
     def _on_peer_opened(self, peer: Peer) -> None:
         self._scheduler.on_opened(peer)
 
-    # -- inner steps
+    # -- implementation
+
+    async def _wait_for_state(self) -> None:
+        """Wait for the first desired state, for a limited time.
 
-    async def _until_state(self) -> None:
-        """Leave the processor to the first answers, unless there are none."""
-        ends_at = self._loop.time() + _STATE_S
+        This leaves the CPU to the first responses of the store before the peer
+        streams are opened.
+        """
+        ends_at = self._loop.time() + _STATE_TIMEOUT_S
         while self._gate.version < 0 and self._loop.time() < ends_at:
-            await asyncio.sleep(_STATE_LOOK_S)
+            await asyncio.sleep(_STATE_POLL_S)
 
-    def _leave(self) -> None:
+    def _begin_leaving(self) -> None:
         self._stopping = True
         self._scheduler.leaving = True
-        self._talk.leaving = True
-        self._answers.leaving = True
+        self._peer_reports.leaving = True
+        self._endpoints.leaving = True
         self.log.event(Event.stopping, busy=self._front.busy)
         self._front.stop_keeping()
         self._tasks['registration'].cancel()
@@ -417,7 +434,7 @@
         if exc is not None:
             self.log.failure(task.get_name(), exc)
 
-    def _failed(self, exc: Exception) -> None:
+    def _log_request_failure(self, exc: Exception) -> None:
         self.log.failure('request', exc)
 
     async def _tick(self) -> None:
@@ -425,24 +442,26 @@
             await asyncio.sleep(_TICK_S)
             self._scheduler.tick()
             hubs = self._scheduler.hubs
-            self._news.look(hubs)
-            for hub in self._use_news.look(hubs):
+            self._store_changes.look(hubs)
+            for hub in self._usage_exchange.look(hubs):
                 self._links.outgoing(hub, urgent=True)
-            self._beliefs.look()
-            self._take_fleet()
-            self._reports.log_fleet(self._beliefs.count, self._links.hears)
+            self._cluster_state.look()
+            self._update_fleet()
+            self._reports.log_fleet(
+                self._cluster_state.count, self._links.hears
+            )
             self._orders.look()
 
     def _owns(self, service: str) -> bool:
         return self.owner(service) == self.options.instance
 
-    def _take_known(self) -> None:
+    def _update_peer_knowledge(self) -> None:
         self._scheduler.look()
-        self._take_fleet()
+        self._update_fleet()
 
-    def _take_fleet(self) -> None:
+    def _update_fleet(self) -> None:
         heard = self._links.hears
-        instances = max(len(self._beliefs.count.members), heard)
+        instances = max(len(self._cluster_state.count.members), heard)
         self._gate.instances = instances
         self._gate.quotas.take_fleet(
             Fleet(
@@ -452,11 +471,11 @@
                 self._scheduler.known.counted_at,
             ),
         )
-        holders = max(len(self._beliefs.count.holders), heard)
+        holders = max(len(self._cluster_state.count.holders), heard)
         self._scheduler.take_share(heard / holders)
 
-    async def _chores(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
-            await asyncio.sleep(_CHORES_S)
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
             self._conns.close_old()
             self._reports.look(self._gate, self._front, self._dispatcher)
--- a/packages/entry/src/tallyhall_entry/job_talk.py
+++ b/packages/entry/src/tallyhall_entry/job_messages.py
@@ -1,4 +1,4 @@
-"""What one instance tells others about jobs."""
+"""Sends job messages to peers."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class PeerOrigin:
-    """Hears decisions on behalf of another instance; an `Origin`."""
+    """Forwards scheduling decisions to the peer that asked; an `Origin`."""
 
     def __init__(self, links: PeerLinks, peer: str) -> None:
-        """Pass them on to this peer."""
+        """Forward decisions to this peer."""
         self._links = links
         self._peer = peer
 
     def granted(self, granted: Granted) -> None:
-        """Tell that a job may be sent."""
+        """Tell the peer that a job may be sent to an upstream."""
         batch = self._links.outgoing(self._peer, urgent=True)
         if batch is not None:
             batch.grants.add(
@@ -33,22 +33,22 @@
             )
 
     def given_up(self, given_up: GivenUp) -> None:
-        """Tell that a job cannot be answered in time."""
+        """Tell the peer that a job cannot meet its deadline."""
         batch = self._links.outgoing(self._peer, urgent=True)
         if batch is not None:
             fill_give_up(batch.give_ups.add(), given_up)
 
 
-class JobTalk:
-    """Tells peers; what is told to an unknown one goes nowhere."""
+class JobMessages:
+    """Queues job messages for peers; those to an unknown peer are dropped."""
 
     def __init__(self, links: PeerLinks) -> None:
-        """Tell through these."""
+        """Send through these links."""
         self._links = links
         self._loop = asyncio.get_running_loop()
 
     def ask(self, owner: str, job: Job) -> bool:
-        """Ask an owner for an upstream; return whether it is known."""
+        """Ask an owner for an upstream; return False if it is unknown."""
         batch = self._links.outgoing(owner, urgent=True)
         if batch is None:
             return False
@@ -56,19 +56,19 @@
         return True
 
     def queued(self, peer: str, key: str) -> None:
-        """Tell that a job waits here."""
+        """Tell a peer that its job is queued here."""
         batch = self._links.outgoing(peer, urgent=True)
         if batch is not None:
             batch.queued.append(key)
 
     def withdrawn(self, owner: str, key: str) -> None:
-        """Tell an owner that a job waits there no more."""
+        """Tell an owner to remove a job from its queue."""
         batch = self._links.outgoing(owner, urgent=False)
         if batch is None:
             return
         batch.withdrawn.append(key)
-        # Withdrawals are read before asks, so an ask that has not left yet
-        # must not leave after all.
+        # The receiver processes withdrawals before asks, so an ask that has
+        # not been sent yet must be removed from the batch.
         for number, ask in enumerate(batch.asks):
             if ask.key == key:
                 batch.asks.pop(number)
@@ -82,7 +82,10 @@
         *,
         begun: bool,
     ) -> bool:
-        """Tell an owner what runs without its grant; return if it is known."""
+        """Report a job that runs without the owner's grant.
+
+        Returns False if the owner is unknown.
+        """
         batch = self._links.outgoing(owner, urgent=False)
         if batch is None:
             return False
@@ -94,7 +97,7 @@
         return True
 
     def begun(self, peer: str, key: str) -> None:
-        """Tell that the answer of a job has begun."""
+        """Tell a peer that the response to a job has begun."""
         batch = self._links.outgoing(peer, urgent=False)
         if batch is not None:
             batch.begun.append(key)
@@ -107,7 +110,7 @@
         incarnation: str,
         report: RunReport,
     ) -> None:
-        """Tell how a send has ended."""
+        """Tell a peer the result of a send."""
         batch = self._links.outgoing(peer, urgent=True)
         if batch is not None:
             fill_done(batch.done.add(), key, service, incarnation, report)
--- a/packages/entry/src/tallyhall_entry/knowledge.py
+++ b/packages/entry/src/tallyhall_entry/knowledge.py
@@ -1,4 +1,4 @@
-"""Until when the others know what this instance has admitted."""
+"""Up to what time peers know which requests this instance has admitted."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 from tallyhall_dispatch.topology import is_mesh
 from tallyhall_transport.peers import PeerLinks
 
-# Beats after which one that was not heard may be cut off; two that follow
-# each other come up to 1.2 apart on a busy machine.
-_SUSPECT_BEATS = 1.5
+# Heartbeat intervals without a batch after which a peer may be partitioned.
+# Consecutive heartbeats arrive up to 1.2 intervals apart on a busy machine.
+_SUSPECT_HEARTBEATS = 1.5
 
 
-class Known(msgspec.Struct, frozen=True):
-    """Times until which what was admitted here is known.
+class PeerKnowledge(msgspec.Struct, frozen=True):
+    """Times up to which peers know what this instance has admitted.
 
-    known_at: to all that this instance talks to, None where there is nobody.
-    counted_at: to one that tells all others, None while any may be cut off.
+    known_at: known to all live peers; None without any. counted_at: known to
+    the fleet, or to a hub that forwards it; None while any peer may be
+    partitioned.
     """
 
     known_at: float | None = None
@@ -27,22 +28,22 @@
     name: str,
     hubs: frozenset[str],
     now: float,
-) -> Known:
-    """Return what the answers of others say to the instance of this name.
+) -> PeerKnowledge:
+    """Return what peers know about the admissions of the named instance.
 
-    Whoever answers a question has counted all that was told before it.
+    A peer that answers a question has processed everything sent before it.
     """
     live = [peer for peer in links.peers.values() if links.answers(peer, now)]
     if not live:
-        return Known()
+        return PeerKnowledge()
     known_at = min(peer.answered_at for peer in live)
     silent_s = now - min(peer.heard_at for peer in live)
-    if silent_s > _SUSPECT_BEATS * links.beat_s:
-        return Known(known_at)
+    if silent_s > _SUSPECT_HEARTBEATS * links.beat_s:
+        return PeerKnowledge(known_at)
     if is_mesh(links.instances):
-        return Known(known_at, known_at)
+        return PeerKnowledge(known_at, known_at)
     if name in hubs:
-        return Known(known_at, now)
-    # One that was a hub until lately answers too, and tells nobody.
+        return PeerKnowledge(known_at, now)
+    # A former hub still answers but no longer forwards reports.
     telling = [peer.answered_at for peer in live if peer.name in hubs]
-    return Known(known_at, max(telling, default=None))
+    return PeerKnowledge(known_at, max(telling, default=None))
--- a/packages/entry/src/tallyhall_entry/locate.py
+++ b/packages/entry/src/tallyhall_entry/locate.py
@@ -1,4 +1,4 @@
-"""Which addresses callers are told to connect to."""
+"""Selects the addresses that clients are told to connect to."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from tallyhall_platform.entries import InstanceEntry
 
-# Addresses in one answer at the most; more are not read.
-_MOST_ADDRESSES = 64
+# Maximum number of addresses in a response; clients ignore any more.
+_MAX_ADDRESSES = 64
 
 
 def front_addresses(
@@ -18,10 +18,10 @@
     *,
     leaving: bool,
 ) -> list[str]:
-    """Return the addresses to offer: all live ones, a sample of many.
+    """Return the addresses to advertise, a random sample if there are many.
 
-    This instance is offered also before the store has its entry, and no
-    more once it is leaving.
+    This instance's own address is included even before the store has its
+    entry, and is left out once the instance is leaving.
     """
     addresses = {entry.front for entry in entries}
     if leaving:
@@ -29,6 +29,6 @@
     else:
         addresses.add(own)
     found = sorted(addresses)
-    if len(found) > _MOST_ADDRESSES:
-        return rng.sample(found, _MOST_ADDRESSES)
+    if len(found) > _MAX_ADDRESSES:
+        return rng.sample(found, _MAX_ADDRESSES)
     return found
--- a/packages/entry/src/tallyhall_entry/logs.py
+++ b/packages/entry/src/tallyhall_entry/logs.py
@@ -1,9 +1,9 @@
-"""JSON lines on standard output that never hold the process up.
+"""JSON log lines on standard output that never block the process.
 
-The pipe is not blocking: a line that does not fit is dropped and counted.
-The volume is bounded by two allowances of bytes a second, one for lines
-about requests that were served and one for all others, so that under load
-the lines that explain failures outlive the rest.
+The pipe is non-blocking: a line that does not fit is dropped and counted. Two
+rate limits in bytes per second bound the volume, one for lines about requests
+that were served and one for all others, so that under load the lines that
+explain failures are kept.
 """
 
 from __future__ import annotations
@@ -16,50 +16,50 @@
 from tallyhall_core.events import Event
 
 _LOGGER = 'tallyhall.entry'
-# Bytes a second and at once, for each of the two allowances. A line has
-# about 250 bytes; a request leaves three lines, so 40 requests a second on
-# one instance are logged whole.
+# Rate and burst of each of the two limits. A line has about 250 bytes and a
+# request logs three lines, so up to 40 requests per second on one instance are
+# logged completely.
 _BYTES_PER_S = 60_000
-_BYTES_AT_ONCE = 240_000
-# How often dropped lines are counted out in the log, seconds.
+_BURST_BYTES = 240_000
+# Interval between log events that report dropped lines, in seconds.
 _REPORT_S = 5.0
 
 
-class _Allowance:
+class _RateLimit:
     def __init__(self, now: float) -> None:
         self.dropped = 0
-        self._left: float = _BYTES_AT_ONCE
-        self._filled_at = now
+        self._available: float = _BURST_BYTES
+        self._refilled_at = now
 
     def take(self, size: int, now: float) -> bool:
-        gained = (now - self._filled_at) * _BYTES_PER_S
-        self._left = min(_BYTES_AT_ONCE, self._left + gained)
-        self._filled_at = now
-        if self._left < size:
+        refill = (now - self._refilled_at) * _BYTES_PER_S
+        self._available = min(_BURST_BYTES, self._available + refill)
+        self._refilled_at = now
+        if self._available < size:
             self.dropped += 1
             return False
-        self._left -= size
+        self._available -= size
         return True
 
 
 class BoundedStream(logging.Handler):
-    """Writes records to a descriptor without ever waiting for its reader."""
+    """Writes records to a file descriptor without blocking."""
 
     def __init__(self, descriptor: int, clock: Callable[[], float]) -> None:
-        """Write to this descriptor, which becomes non-blocking."""
+        """Write to this descriptor, which is set to non-blocking mode."""
         super().__init__()
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._clock = clock
         now = clock()
-        self._served = _Allowance(now)
-        self._others = _Allowance(now)
-        self._rest = b''
+        self._served = _RateLimit(now)
+        self._others = _RateLimit(now)
+        self._pending = b''
         self.unwritten = 0
 
     @property
     def dropped(self) -> dict[str, int]:
-        """Return how many lines were dropped, by kind."""
+        """Return the number of dropped lines by kind."""
         return {
             'served': self._served.dropped,
             'others': self._others.dropped,
@@ -67,31 +67,31 @@
         }
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record, or drop and count it."""
+        """Write a record, or drop and count it."""
         line = f'{self.format(record)}\n'.encode()
         served = getattr(record, 'served', False)
-        allowance = self._served if served else self._others
-        if not allowance.take(len(line), self._clock()):
+        rate_limit = self._served if served else self._others
+        if not rate_limit.take(len(line), self._clock()):
             return
-        if not self._write_rest():
+        if not self._flush_pending():
             self.unwritten += 1
             return
-        self._rest = line
-        self._write_rest()
+        self._pending = line
+        self._flush_pending()
 
-    def _write_rest(self) -> bool:
-        # A line may leave in two parts; the next one waits for its end.
-        while self._rest:
+    def _flush_pending(self) -> bool:
+        # A line may be written partially; its rest precedes the next line.
+        while self._pending:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._pending)
             except BlockingIOError:
                 return False
             except OSError:
-                # Nobody can read any more; there is nowhere to say so.
-                self._rest = b''
+                # The reader is gone, so the error cannot be reported.
+                self._pending = b''
                 self.unwritten += 1
                 return True
-            self._rest = self._rest[written:]
+            self._pending = self._pending[written:]
         return True
 
 
@@ -100,7 +100,7 @@
     clock: Callable[[], float],
     descriptor: int,
 ) -> BoundedStream:
-    """Send all records of the process to this descriptor as JSON."""
+    """Write all log records of the process to this descriptor as JSON."""
     stream = BoundedStream(descriptor, clock)
     stream.setFormatter(
         JsonFormatter(
@@ -121,17 +121,17 @@
     """Writes numbered events."""
 
     def __init__(self, stream: BoundedStream) -> None:
-        """Write through the handler of the process."""
+        """Write through this handler."""
         self._log = logging.getLogger(_LOGGER)
         self._stream = stream
         self._dropped = stream.dropped
 
     def event(self, event: Event, **fields: object) -> None:
-        """Write an event; its fields tell what decided it."""
+        """Log an event with fields that describe its cause."""
         self._log.info(event.name, extra={'number': int(event), **fields})
 
     def failure(self, where: str, exc: BaseException) -> None:
-        """Write an exception that nobody expected."""
+        """Log an unexpected exception."""
         self._log.error(
             Event.internal_error.name,
             exc_info=exc,
@@ -139,7 +139,7 @@
         )
 
     def report_dropped(self) -> None:
-        """Write how many lines were dropped since the last report."""
+        """Log the counts of dropped lines if they changed since last time."""
         dropped = self._stream.dropped
         if dropped == self._dropped:
             return
--- a/packages/entry/src/tallyhall_entry/losses.py
+++ b/packages/entry/src/tallyhall_entry/losses.py
@@ -1,7 +1,8 @@
-"""Which requests were late or not served, and why, out of log lines alone.
+"""Finds late and unserved requests and their causes in log lines.
 
-Each has exactly one cause. Of an answer that was late by its first byte it is
-the longest part of the way there; one that began in time was late by a pause.
+Each such request has exactly one cause. If the first byte was late, the cause
+is the longest phase before it; if the first byte was on time, the cause is a
+pause within the response.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 from .explain import Line, read_line
 from .quota_uses import QuotaUses
 
-# An instance that has written nothing for this long before the end of all
-# lines is taken as lost with what it had under way, in seconds: it tells of its
-# knowledge of the others more often.
-_SILENT_S = 3.0
+# An instance whose last line is this much older than the newest line of all is
+# considered lost together with its running requests, in seconds. A live one
+# logs its view of the fleet more often.
+_LOST_AFTER_S = 3.0
 _Key = TypeVar('_Key')
-# The counts of a line that tells of dropped ones.
-_DROPPED = ('served', 'others', 'unread')
-# What a request may not have, however much is free.
-_NOT_ALLOWED = frozenset(
+# Fields of a logs_dropped event that count lines.
+_DROPPED_FIELDS = ('served', 'others', 'unread')
+# Reasons that apply regardless of free capacity.
+_NOT_ALLOWED_REASONS = frozenset(
     reason.value
     for reason in (
         Reason.bad_request,
@@ -39,20 +40,20 @@
 
 @enum.unique
 class Cause(enum.Enum):
-    """Why a request was late or not served; the text is for operators."""
+    """Why a request was late or not served; the values are for operators."""
 
-    came_back = 'its caller came back late'
-    waited = 'it waited for a place'
-    resent = 'it was sent again'
-    unforeseen = 'its first event came later than foreseen'
-    foreseen = 'its first event came late as foreseen'
+    came_back = 'its client retried late'
+    waited = 'it waited for a free slot'
+    resent = 'it was retried by its instance'
+    unforeseen = 'its first event came later than predicted'
+    foreseen = 'its first event came late, as predicted'
     paused = 'a pause was too long'
     refused = 'it was refused'
-    refused_again = 'it came back and was refused'
-    quota_left = 'it was refused for a quota of which enough was left'
+    refused_again = 'it was refused after a retry by its client'
+    quota_left = 'it was refused although enough of its quota was left'
     not_allowed = 'it was not allowed'
     failed = 'upstreams failed it'
-    caller_left = 'its caller left'
+    caller_left = 'its client disconnected'
     instance_lost = 'its instance was lost'
     unreached = 'it reached no instance'
 
@@ -60,7 +61,7 @@
 class Loss(msgspec.Struct, frozen=True):
     """One request that was late or not served.
 
-    at_s: when it came, in seconds from the first line. reason: how it ended.
+    at_s: its arrival in seconds after the first line. reason: its outcome.
     """
 
     request: str
@@ -71,10 +72,10 @@
 
 
 class Losses(msgspec.Struct, frozen=True):
-    """All that was lost.
+    """All requests that were late or not served.
 
-    seen: requests of which the lines tell. open: of them, those under way at
-    the end. dropped: lines that instances could not write, as they say.
+    seen: number of requests in the lines. open: those of them without an
+    outcome at the end. dropped: log lines that instances reported as dropped.
     """
 
     lost: tuple[Loss, ...]
@@ -86,17 +87,17 @@
         self,
         weights: Mapping[str, float],
     ) -> dict[str, dict[Cause, float]]:
-        """Return what was lost by route and cause, a request's weight each."""
-        return self._summed(weights, lambda loss: loss.route)
+        """Return the summed weight of lost requests by route and cause."""
+        return self._sum_by(weights, lambda loss: loss.route)
 
     def by_second(
         self,
         weights: Mapping[str, float],
     ) -> dict[int, dict[Cause, float]]:
-        """Return the same by the second in which requests came."""
-        return self._summed(weights, lambda loss: int(loss.at_s))
+        """Return the summed weight by second of arrival and cause."""
+        return self._sum_by(weights, lambda loss: int(loss.at_s))
 
-    def _summed(
+    def _sum_by(
         self,
         weights: Mapping[str, float],
         key: Callable[[Loss], _Key],
@@ -109,33 +110,33 @@
 
 
 def losses(texts: Iterable[str], callers: Iterable[str] = ()) -> Losses:
-    """Return what the lines tell.
+    """Return the lost requests according to log lines.
 
-    callers: ids of all requests as their callers know them, so that those are
-    found which no instance tells of.
+    callers: ids of all requests that clients sent, used to find those that
+    reached no instance.
     """
-    journal = _read(texts)
-    for refusal in journal.refusals:
+    log_index = _index_lines(texts)
+    for refusal in log_index.refusals:
         request = str(refusal.fields['request'])
-        journal.uses.given_back(request, refusal.at_s)
+        log_index.uses.given_back(request, refusal.at_s)
     lost: list[Loss] = []
     unfinished = 0
-    for request, lines in journal.by_request.items():
+    for request, lines in log_index.by_request.items():
         lines.sort(key=_time)
-        loss = _loss(request, lines, journal)
+        loss = _find_loss(request, lines, log_index)
         if loss is not None:
             lost.append(loss)
         elif not _has_ended(lines):
             unfinished += 1
-    for request in set(callers) - journal.by_request.keys():
+    for request in set(callers) - log_index.by_request.keys():
         lost.append(Loss(request, 0, '', Cause.unreached, ''))
     lost.sort(key=lambda loss: (loss.at_s, loss.request))
-    seen = len(journal.by_request)
-    return Losses(tuple(lost), seen, unfinished, journal.dropped)
+    seen = len(log_index.by_request)
+    return Losses(tuple(lost), seen, unfinished, log_index.dropped)
 
 
-class _Journal:
-    """Lines by request, and when each instance wrote."""
+class _LogIndex:
+    """Log lines by request, and the times at which each instance logged."""
 
     def __init__(self) -> None:
         self.by_request: dict[str, list[Line]] = {}
@@ -145,7 +146,8 @@
         self.first_at = float('inf')
         self.last_at: float = 0
         self.refusals: list[Line] = []
-        # What each start of an instance has told last: counts since then.
+        # Latest count of dropped lines by instance and number of the run; the
+        # counts of a run are cumulative.
         self._dropped: dict[tuple[str, int], int] = {}
 
     def take(self, line: Line) -> None:
@@ -159,7 +161,7 @@
         if line.event == Event.logs_dropped.name:
             start = len(self.starts.get(instance, ()))
             self._dropped[instance, start] = sum(
-                int(line.fields.get(kind, 0)) for kind in _DROPPED
+                int(line.fields.get(kind, 0)) for kind in _DROPPED_FIELDS
             )
         request = line.fields.get('request')
         if request:
@@ -176,57 +178,57 @@
 
     @property
     def dropped(self) -> int:
-        """Return how many lines all starts of all instances dropped."""
+        """Return how many lines were dropped by all runs of all instances."""
         return sum(self._dropped.values())
 
     def is_lost(self, line: Line) -> bool:
-        """Return whether the instance of a line ended after it."""
+        """Return whether the instance was restarted or lost after a line."""
         at = line.at_s
         if any(started > at for started in self.starts.get(line.instance, ())):
             return True
-        return self.last_at - self.newest[line.instance] > _SILENT_S
+        return self.last_at - self.newest[line.instance] > _LOST_AFTER_S
 
 
-def _read(texts: Iterable[str]) -> _Journal:
-    journal = _Journal()
+def _index_lines(texts: Iterable[str]) -> _LogIndex:
+    log_index = _LogIndex()
     for text in texts:
         line = read_line(text)
         if line is not None:
-            journal.take(line)
-    return journal
+            log_index.take(line)
+    return log_index
 
 
-def _loss(
+def _find_loss(
     request: str,
     lines: list[Line],
-    journal: _Journal,
+    log_index: _LogIndex,
 ) -> Loss | None:
-    found = _found(lines, journal)
+    found = _classify(lines, log_index)
     if found is None:
         return None
     cause, reason = found
-    at_s = lines[0].at_s - journal.first_at
+    at_s = lines[0].at_s - log_index.first_at
     return Loss(request, at_s, _route(lines), cause, reason)
 
 
-def _found(
+def _classify(
     lines: list[Line],
-    journal: _Journal,
+    log_index: _LogIndex,
 ) -> tuple[Cause, str] | None:
-    """Return the cause and how it ended; None if served or under way."""
-    finished = _last(lines, Event.finished)
+    """Return the cause and outcome; None if served or still running."""
+    finished = _last_event(lines, Event.finished)
     if finished is not None:
         outcome = str(finished.fields['outcome'])
         if outcome == 'answered':
             return _late_cause(finished.fields)
         return _unserved_cause(outcome, finished.fields), outcome
-    refused = _last(lines, Event.refused)
+    refused = _last_event(lines, Event.refused)
     if refused is not None:
         reason = str(refused.fields['reason'])
-        if _has_quota(refused, journal.uses):
+        if _had_quota_left(refused, log_index.uses):
             return Cause.quota_left, reason
         return _unserved_cause(reason, refused.fields), reason
-    if journal.is_lost(lines[-1]):
+    if log_index.is_lost(lines[-1]):
         return Cause.instance_lost, ''
     return None
 
@@ -250,7 +252,7 @@
 
 
 def _unserved_cause(reason: str, fields: Mapping[str, object]) -> Cause:
-    if reason in _NOT_ALLOWED:
+    if reason in _NOT_ALLOWED_REASONS:
         return Cause.not_allowed
     if reason == 'caller_left':
         return Cause.caller_left
@@ -264,8 +266,8 @@
     return Cause.refused
 
 
-def _has_quota(refused: Line, uses: QuotaUses) -> bool:
-    """Return whether a request would have fitted into its quota."""
+def _had_quota_left(refused: Line, uses: QuotaUses) -> bool:
+    """Return whether the quota had enough left for a refused request."""
     fields = refused.fields
     if 'quota' not in fields:
         return False
@@ -290,7 +292,7 @@
     return ''
 
 
-def _last(lines: list[Line], event: Event) -> Line | None:
+def _last_event(lines: list[Line], event: Event) -> Line | None:
     for line in reversed(lines):
         if line.event == event.name:
             return line
--- a/packages/entry/src/tallyhall_entry/main.py
+++ b/packages/entry/src/tallyhall_entry/main.py
@@ -1,4 +1,4 @@
-"""The entry process: settings, loop, signals."""
+"""Entry point of the process: settings, event loop and signal handlers."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
 from tallyhall_platform.errors import SettingsError
 from tallyhall_platform.settings import SETTINGS_VARIABLE, load_options
 
-from .clock import SinceBootLoop
+from .clock import BoottimeEventLoop
 from .instance import Instance
 from .logs import BoundedStream, setup_logging
 
 _EXIT_SETTINGS = 2
-# The file may change without a signal; a look costs one system call.
-_SETTINGS_LOOK_S = 2.0
+# Poll interval for changes of the settings file without a signal; each poll is
+# one system call.
+_SETTINGS_POLL_S = 2.0
 
 
 def main() -> None:
-    """Run an entry instance until it is told to stop."""
+    """Run an entry instance until it receives a stop signal."""
     path = pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ''))
     try:
         options = load_options(path)
@@ -39,10 +40,10 @@
         time.monotonic,
         sys.stdout.fileno(),
     )
-    # What exists now lives as long as the process; not to look at it again
-    # keeps the collector's pauses short.
+    # Objects that exist now live as long as the process. Excluding them from
+    # garbage collection keeps its pauses short.
     gc.freeze()
-    with asyncio.Runner(loop_factory=SinceBootLoop) as runner:
+    with asyncio.Runner(loop_factory=BoottimeEventLoop) as runner:
         sys.exit(runner.run(_serve(path, options, stream)))
 
 
@@ -61,11 +62,11 @@
     try:
         await instance.start()
     except OSError as exc:
-        sys.stderr.write(f'tallyhall: an address cannot be opened: {exc}\n')
+        sys.stderr.write(f'tallyhall: cannot listen on an address: {exc}\n')
         return _EXIT_SETTINGS
-    watching = asyncio.create_task(_watch_settings(path, instance, changed))
+    watcher = asyncio.create_task(_watch_settings(path, instance, changed))
     await stop.wait()
-    watching.cancel()
+    watcher.cancel()
     await instance.stop()
     return 0
 
@@ -75,13 +76,13 @@
     instance: Instance,
     changed: asyncio.Event,
 ) -> None:
-    """Read the settings again after a signal, or when the file changes."""
-    modified = _modified(path)
+    """Reload the settings after a signal or a change of the file."""
+    modified = _modification_time(path)
     while True:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_SETTINGS_LOOK_S):
+            async with asyncio.timeout(_SETTINGS_POLL_S):
                 await changed.wait()
-        latest = _modified(path)
+        latest = _modification_time(path)
         if latest == modified and not changed.is_set():
             continue
         modified = latest
@@ -92,9 +93,9 @@
             instance.log.event(Event.settings_rejected, cause=str(exc))
 
 
-def _modified(path: pathlib.Path) -> float:
+def _modification_time(path: pathlib.Path) -> float:
     try:
         return path.stat().st_mtime
     except OSError:
-        # It is being replaced; the next look sees the new one.
+        # The file is being replaced; the next poll sees the new one.
         return 0
--- a/packages/entry/src/tallyhall_entry/neighbours.py
+++ b/packages/entry/src/tallyhall_entry/neighbours.py
@@ -1,4 +1,4 @@
-"""Which instances are live, as this one hears them, and whom it talks to."""
+"""Determines which peers are live and to which ones to keep streams."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 from tallyhall_transport.peer import Peer
 from tallyhall_transport.peers import PeerLinks
 
-# Beats after which one that sent something needs no answers any more.
-_ANSWERED_LOSSES = 3
+# Multiple of the loss timeout during which a peer that sent something counts as
+# heard, even without answers from it.
+_HEARD_TIMEOUT_FACTOR = 3
 
 
 class Seen(msgspec.Struct, frozen=True):
-    """What is known of the fleet at a moment.
+    """The fleet as seen by one instance at one time.
 
-    owners: instances that may own services. hubs: these and, where there are
-    none, those that stop and hear all. hears: instances whose use of
-    quotas is known here, with this one. hears_directly: of them, those that
-    this one hears itself.
+    owners: instances that may own services. hubs: the owners or, if there are
+    none, stopping instances that hear from all others. hears: number of
+    instances whose quota usage is known, including this one. hears_directly:
+    those of them that this instance receives reports from itself.
     """
 
     owners: frozenset[str]
@@ -27,29 +28,29 @@
 
 
 class Neighbours:
-    """Looks who is live and keeps the streams that are needed."""
+    """Tracks live peers and maintains the streams to them."""
 
     def __init__(self, name: str, links: PeerLinks) -> None:
-        """Belong to an instance."""
+        """Track peers for the named instance."""
         self._name = name
         self._links = links
         self._topology = Topology(name)
 
     def look(self, now: float, *, leaving: bool) -> Seen:
-        """Return what is known now, and open or end streams."""
+        """Return the current view of the fleet; open and close streams."""
         links = self._links
         registered = links.registered
-        # Those that stop are heard and hear like all others: they still
-        # admit. Only services move away from them.
+        # Stopping instances exchange reports like all others, as they still
+        # admit requests. Only the ownership of services moves away from them.
         answering = {self._name}
         silent: set[str] = set()
         heard: set[str] = set()
         for peer in links.peers.values():
-            if now - peer.heard_at < _ANSWERED_LOSSES * links.lost_s:
+            if now - peer.heard_at < _HEARD_TIMEOUT_FACTOR * links.lost_s:
                 heard.add(peer.name)
             if links.answers(peer, now):
                 answering.add(peer.name)
-            elif self._had_time(peer, now):
+            elif self._is_answer_overdue(peer, now):
                 silent.add(peer.name)
         if is_mesh(links.instances):
             silent |= registered - answering
@@ -58,18 +59,18 @@
             frozenset(silent),
             frozenset(heard),
             links.cores,
-            self._retiring(leaving=leaving),
+            self._unadvertised(leaving=leaving),
         )
         links.link(chosen.linked)
         return Seen(
             chosen.owners,
             chosen.hubs,
-            self._hears(chosen.hubs, answering),
+            self._count_heard(chosen.hubs, answering),
             len(answering),
         )
 
-    def _retiring(self, *, leaving: bool) -> frozenset[str]:
-        """Return who is not offered to callers any more."""
+    def _unadvertised(self, *, leaving: bool) -> frozenset[str]:
+        """Return the instances that are no longer advertised to clients."""
         links = self._links
         retiring = {
             peer.name
@@ -80,15 +81,15 @@
             retiring.add(self._name)
         return frozenset(retiring)
 
-    def _had_time(self, peer: Peer, now: float) -> bool:
+    def _is_answer_overdue(self, peer: Peer, now: float) -> bool:
         if peer.linked_at is None:
             return False
         return now - peer.linked_at > self._links.silent_s
 
-    def _hears(self, hubs: frozenset[str], answering: set[str]) -> int:
-        """Return how many are heard, directly or through a hub."""
+    def _count_heard(self, hubs: frozenset[str], answering: set[str]) -> int:
+        """Return the number of instances heard, directly or through a hub."""
         if is_mesh(self._links.instances):
-            # Nobody passes on what others admitted.
+            # In a mesh no instance forwards the reports of others.
             return len(answering)
         peers = self._links.peers
         through = [peers[hub].hears for hub in hubs & answering if hub in peers]
--- a/packages/entry/src/tallyhall_entry/owners.py
+++ b/packages/entry/src/tallyhall_entry/owners.py
@@ -1,7 +1,7 @@
-"""Whom the requests of one instance ask for an upstream.
+"""Selects the instance that is asked for an upstream.
 
-The owner of a service is asked, the candidates after it where it does not
-answer. One that was silent is not asked again for a while.
+The owner of a service is asked first, then the next candidates if it does not
+respond. An instance that did not respond is skipped for a while.
 """
 
 from __future__ import annotations
@@ -13,26 +13,28 @@
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_transport.peers import PeerLinks
 
-# A silent owner is not asked again for this long, and until it has answered
-# something that was sent with or after the ask.
-_SUSPECT_S = 0.3
-# So many silent owners are asked in any case; one more only if its answer takes
-# at most this part of the time that the request has left until it is due.
-_SILENT_ASKED = 2
-_ANSWER_PART = 0.25
-# What the next owner may grant of a limit while the first may still grant all.
-_SECOND_PART = 0.5
+# Minimum time for which an unresponsive owner is skipped. It is also skipped
+# until it has answered something that was sent with the ask or after it.
+_MIN_SKIP_S = 0.3
+# Number of unresponsive owners that a request may always wait for. Another one
+# is asked only if waiting for it takes at most the given fraction of the time
+# that is left until the request is due.
+_ALWAYS_ASKED_OWNERS = 2
+_MAX_WAIT_FRACTION = 0.25
+# Fraction of a limit that the second owner may grant, as the first one may
+# still grant all of it.
+_SECOND_OWNER_SHARE = 0.5
 
 
-class _Suspect(msgspec.Struct, frozen=True):
-    """An owner that has left an ask of `asked_at` unanswered."""
+class _UnresponsiveOwner(msgspec.Struct, frozen=True):
+    """An owner that did not respond to an ask sent at `asked_at`."""
 
     asked_at: float
     until: float
 
 
 class Owners:
-    """The owners of all services, and which of them are silent."""
+    """Tracks the owners of all services and which of them are unresponsive."""
 
     def __init__(
         self,
@@ -40,77 +42,84 @@
         dispatcher: Dispatcher,
         links: PeerLinks,
     ) -> None:
-        """Look from the instance of this name."""
+        """Select owners on behalf of the named instance."""
         self.ownership = Ownership()
         self.ownership.take_live(frozenset((name,)))
-        # The part of all instances that this one hears.
+        # Fraction of all instances that this one hears from.
         self.share: float = 1
         self._name = name
         self._dispatcher = dispatcher
         self._links = links
         self._loop = asyncio.get_running_loop()
-        self._suspects: dict[str, _Suspect] = {}
+        self._unresponsive: dict[str, _UnresponsiveOwner] = {}
 
     def usable(self, service: str) -> str | None:
-        """Return whom to ask, None where this instance decides itself."""
+        """Return the owner to ask, None if this instance decides itself."""
         if not self._dispatcher.is_shared(service):
             return None
         for owner in self.ownership.owners(service):
             if owner == self._name:
                 return None
-            if not self._is_suspect(owner):
+            if not self._is_unresponsive(owner):
                 return owner
         return None
 
-    def next_for(
+    def next_owner(
         self,
         service: str,
         unanswered: int,
         left_s: float,
         answer_s: float,
     ) -> str | None:
-        """Return whom a request asks that no owner has queued.
+        """Return the owner to ask next for a request that none has queued.
 
-        unanswered: owners that have not answered it. left_s: until it is due.
-        answer_s: for how long an owner is waited for.
+        unanswered: number of owners that did not respond. left_s: time until
+        the request is due. answer_s: timeout for a response of an owner.
         """
-        if unanswered >= _SILENT_ASKED and answer_s > _ANSWER_PART * left_s:
+        if (
+            unanswered >= _ALWAYS_ASKED_OWNERS
+            and answer_s > _MAX_WAIT_FRACTION * left_s
+        ):
             return None
         return self.usable(service)
 
-    def is_alone(self, service: str) -> bool:
-        """Return whether others own a service and none of them answers."""
+    def has_only_remote_owners(self, service: str) -> bool:
+        """Return whether only other instances own a service.
+
+        The caller checks that none of them responds.
+        """
         if not self._dispatcher.is_shared(service):
             return False
         owners = self.ownership.owners(service)
         return bool(owners) and self._name not in owners
 
-    def limit_part(self, service: str) -> float:
-        """Return which part of the limits of its upstreams may be used here.
+    def limit_share(self, service: str) -> float:
+        """Return the fraction of upstream limits that may be used here.
 
-        An owner places the requests of all whom it hears.
+        An owner schedules the requests of all instances that it hears from.
         """
         owners = self.ownership.owners(service)
         if owners and owners[0] == self._name:
             return self.share
         if self._name in owners:
-            # Asked by those that do not reach the first, which others may.
-            return _SECOND_PART * self.share
-        # Where no owner answers, all others decide as well.
+            # Asked by instances that cannot reach the first owner, while
+            # others may reach it.
+            return _SECOND_OWNER_SHARE * self.share
+        # If no owner responds, every other instance decides for itself, too.
         return 0 if self.usable(service) else 1 / self._links.instances
 
     def unanswered(self, owner: str, asked_at: float) -> None:
-        """Take that an owner has left an ask unanswered."""
-        until = self._loop.time() + _SUSPECT_S
-        self._suspects[owner] = _Suspect(asked_at, until)
+        """Record that an owner did not respond to an ask."""
+        until = self._loop.time() + _MIN_SKIP_S
+        self._unresponsive[owner] = _UnresponsiveOwner(asked_at, until)
 
-    def _is_suspect(self, owner: str) -> bool:
-        """Return whether an owner is taken for silent.
+    def _is_unresponsive(self, owner: str) -> bool:
+        """Return whether an owner is considered unresponsive.
 
-        By time alone, what waits here would leave its queue every 0.3 s to
-        ask owners that are cut off, until their loss is noticed.
+        With a time limit alone, requests queued here would leave their queue
+        every 0.3 s to ask partitioned owners, until their loss is detected.
         """
-        suspect = self._suspects.get(owner)
+        suspect = self._unresponsive.get(owner)
         if suspect is None:
             return False
         if self._loop.time() < suspect.until:
@@ -118,5 +127,5 @@
         peer = self._links.peers.get(owner)
         if peer is not None and peer.answered_at < suspect.asked_at:
             return True
-        self._suspects.pop(owner)
+        self._unresponsive.pop(owner)
         return False
--- a/packages/entry/src/tallyhall_entry/shared.py
+++ b/packages/entry/src/tallyhall_entry/shared.py
@@ -1,14 +1,14 @@
-"""One queue a service, at its owner, with a queue here as the way out.
+"""Schedules jobs through one queue per service, with a local fallback.
 
-A request of a model service asks the service's owner for an upstream. If
-the owner does not answer at once, or is lost while the request waits, it asks
-the candidate after it. If none of them answers, the pools of this instance
-decide alone, from what this instance runs, and fill its part of the places.
-Either way the request is sent from here and nowhere else, so an owner that is
-wrong, late or doubled costs order in the queue and nothing more.
+A request to a model service asks the owner of the service for an upstream. If
+the owner does not respond at once, or is lost while the request waits, the next
+candidate is asked. If no candidate responds, the pools of this instance decide
+alone. They know only the jobs of this instance, and fill only its share of the
+upstream slots. In any case the request is sent by this instance alone, so a
+wrong, late or duplicate owner only affects the order of the queue.
 
-Whoever granted a job or was told of it hears of its end, so that places of
-upstreams are free again wherever they are counted.
+Every instance that granted a job or was informed of it is told when it ends, so
+that the slot is released wherever it is counted.
 """
 
 from __future__ import annotations
@@ -33,47 +33,47 @@
 )
 from tallyhall_transport.peers import PeerLinks
 
-from .job_talk import JobTalk, PeerOrigin
-from .knowledge import Known, known
+from .job_messages import JobMessages, PeerOrigin
+from .knowledge import PeerKnowledge, known
 from .neighbours import Neighbours
 from .owners import Owners
-from .upstream_news import UpstreamNews
+from .upstream_news import UpstreamAnnouncements
 
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
 
-# What a lost instance runs is no longer counted after this long.
-_DROP_S = 1.5
-# An owner that has not answered within this time is passed by; its answer
-# normally takes 3 ms.
+# Time after which the jobs of a lost instance are no longer counted.
+_DROP_JOBS_AFTER_S = 1.5
+# Timeout for the response of an owner, after which the next one is asked. A
+# response normally takes 3 ms.
 _ANSWER_S = 0.06
-# A request that is held must be decided this long before it is given up; a
-# tick, at which held ones are looked at, takes 50 ms.
+# A held request is decided at the latest this long before it is given up. Held
+# requests are checked at each tick, every 50 ms.
 _HELD_MARGIN_S = 0.15
 _MILLI = 1000
 
 
 class _Ticket(msgspec.Struct):
-    """A job of this instance; `owner` None while it is decided here."""
+    """A job of this instance; `owner` is None while it is decided locally."""
 
     job: Job
     fut: asyncio.Future[Upstream]
     owner: str | None = None
     timer: asyncio.TimerHandle | None = None
-    # When the owner was asked.
+    # Time at which the owner was asked.
     asked_at: float = 0
-    # Owners that have not answered it.
+    # Number of owners that did not respond.
     unanswered: int = 0
     upstream: Upstream | None = None
     forecast_s: float = 0
     begun: bool = False
-    # Decided nowhere until this instance's part of the places allows it.
+    # Queued nowhere until this instance's share of the slots allows it.
     held: bool = False
-    told: set[str] = msgspec.field(default_factory=set)
+    informed: set[str] = msgspec.field(default_factory=set)
 
 
 class SharedScheduler:
-    """Asks owners for upstreams; a `Scheduler`."""
+    """Obtains upstreams from service owners; a `Scheduler`."""
 
     def __init__(
         self,
@@ -82,11 +82,11 @@
         links: PeerLinks,
         log: Callable[..., None],
     ) -> None:
-        """Decide with this dispatcher where no owner does."""
+        """Use this dispatcher for decisions that no owner makes."""
         self.leaving = False
         self._owners = Owners(name, dispatcher, links)
         self.ownership = self._owners.ownership
-        # Instances that hear all, as seen from here.
+        # Instances that hear from all others, as seen by this one.
         self.hubs: frozenset[str] = frozenset()
         self._name = name
         self._dispatcher = dispatcher
@@ -96,22 +96,22 @@
         self._tickets: dict[str, _Ticket] = {}
         self._origins: dict[str, PeerOrigin] = {}
         self._dropped: set[str] = set()
-        # Jobs that wait or run by a decision made alone, by service.
+        # Jobs that wait or run without any responsive owner, by service.
         self._alone: dict[str, set[str]] = collections.defaultdict(set)
         self._neighbours = Neighbours(name, links)
-        self._talk = JobTalk(links)
-        self.upstream_news = UpstreamNews(dispatcher, links, log)
-        self._known = Known()
+        self._messages = JobMessages(links)
+        self.upstream_news = UpstreamAnnouncements(dispatcher, links, log)
+        self._known = PeerKnowledge()
 
     @property
-    def known(self) -> Known:
-        """Return until when others know what was admitted here."""
+    def known(self) -> PeerKnowledge:
+        """Return up to what time peers know what was admitted here."""
         return self._known
 
     # -- Scheduler
 
     async def acquire(self, job: Job) -> Grant:
-        """Return an upstream for one send; raise RefusedError."""
+        """Return an upstream for one send, or raise RefusedError."""
         fut: asyncio.Future[Upstream] = self._loop.create_future()
         ticket = _Ticket(job, fut)
         self._tickets[job.key] = ticket
@@ -130,44 +130,44 @@
         )
 
     def is_usable(self, upstream: Upstream) -> bool:
-        """Return whether an upstream still takes new requests."""
+        """Return whether an upstream still accepts new requests."""
         return self._dispatcher.is_usable(upstream.incarnation)
 
     def first_byte(self, job: Job) -> None:
-        """Take that the answer of a job has begun."""
+        """Record that the response to a job has begun."""
         ticket = self._tickets.get(job.key)
         if ticket is None:
             return
         ticket.begun = True
         self._dispatcher.first_byte(job.key, job.service)
-        for peer in ticket.told:
-            self._talk.begun(peer, job.key)
+        for peer in ticket.informed:
+            self._messages.begun(peer, job.key)
 
     def finish(self, job: Job, upstream: Upstream, report: RunReport) -> None:
-        """Take that a send has ended."""
+        """Record that a send has ended."""
         ticket = self._tickets.pop(job.key, None)
         self._alone[job.service].discard(job.key)
         incarnation = upstream.incarnation
         self._dispatcher.finish(job.key, job.service, incarnation, report)
         if ticket is None:
             return
-        for peer in ticket.told:
-            self._talk.done(peer, job.key, job.service, incarnation, report)
+        for peer in ticket.informed:
+            self._messages.done(peer, job.key, job.service, incarnation, report)
 
     def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
-        """Return how long all upstreams rest, 0 if one does not."""
+        """Return how long all upstreams are paused, 0 if one is not."""
         return self._dispatcher.opens_in_s(service, resting)
 
-    # -- from the links
+    # -- peer callbacks
 
     def on_opened(self, peer: Peer) -> None:
-        """Take that a new stream to a peer begins: it knows nothing."""
+        """Reset what a peer was told when a new stream to it opens."""
         for ticket in self._tickets.values():
-            ticket.told.discard(peer.name)
+            ticket.informed.discard(peer.name)
         self.upstream_news.on_opened(peer)
 
     def on_batch(self, peer: Peer, batch: peers_pb2.Batch) -> None:
-        """Take what another instance says about jobs."""
+        """Process the job messages of a peer."""
         name = peer.name
         restarted = peer.incarnation != batch.incarnation
         peer.incarnation = batch.incarnation
@@ -190,18 +190,19 @@
                 done.upstream,
                 decode_done(done),
             )
-        # Before the asks: a job that is asked again may still have its old
-        # withdrawal, or the refusal of a crossed grant, in the same batch.
+        # Processed before the asks: if a job is asked for again, the batch may
+        # also hold the withdrawal of its earlier ask, or the refusal of a grant
+        # that crossed that withdrawal.
         for key in batch.withdrawn:
             self._dispatcher.withdraw(key)
         for ask in batch.asks:
-            self._take_ask(name, decode_job(ask, now))
-        self._take_answers(name, batch)
+            self._handle_ask(name, decode_job(ask, now))
+        self._handle_answers(name, batch)
 
     # -- an `Origin`, for jobs that this instance decides itself
 
     def granted(self, granted: Granted) -> None:
-        """Hear that a job may be sent, and when an answer is expected."""
+        """Complete a job's wait with an upstream and a response forecast."""
         ticket = self._tickets.get(granted.key)
         upstream = granted.upstream
         if ticket is None or ticket.fut.done():
@@ -219,27 +220,27 @@
         ticket.fut.set_result(upstream)
 
     def given_up(self, given_up: GivenUp) -> None:
-        """Hear that a job cannot be answered in time."""
+        """Fail a job's wait as it cannot meet its deadline."""
         ticket = self._tickets.get(given_up.key)
         if ticket is not None and not ticket.fut.done():
             _stop_timer(ticket)
             ticket.fut.set_exception(GivenUpError(given_up))
 
     def tick(self) -> None:
-        """Look who is live, and move jobs to the owners of now."""
+        """Update the live peers, and move jobs to the current owners."""
         self._drop_lost()
         self.look()
-        self._take_limit_parts()
+        self._update_limit_shares()
         for ticket in tuple(self._tickets.values()):
-            self._move(ticket)
+            self._reassign(ticket)
 
     def take_share(self, share: float) -> None:
-        """Fill at most this part of the places of model engines."""
+        """Use at most this fraction of the slots of model engines."""
         self._owners.share = share
         self._dispatcher.take_share(share)
 
     def look(self) -> None:
-        """Look who is live and knows what was admitted here."""
+        """Update which peers are live and know what was admitted here."""
         now = self._loop.time()
         seen = self._neighbours.look(now, leaving=self.leaving)
         self._links.hears = seen.hears
@@ -247,8 +248,8 @@
         self.hubs = seen.hubs
         self._links.is_hub = self._name in seen.hubs
         self._known = known(self._links, self._name, seen.hubs, now)
-        # Where all stop, those that hear all go on to own the services:
-        # without an owner each would fill all places.
+        # If all instances are stopping, the hubs continue to own services.
+        # Without an owner each instance would fill all slots.
         owners = seen.owners or seen.hubs
         if self.ownership.take_live(owners):
             self._log(
@@ -257,48 +258,48 @@
                 hears=seen.hears,
             )
 
-    # -- inner steps
+    # -- implementation
 
-    def _take_limit_parts(self) -> None:
+    def _update_limit_shares(self) -> None:
         self._dispatcher.take_limit_parts(
             {
-                service: self._owners.limit_part(service)
+                service: self._owners.limit_share(service)
                 for service in self._dispatcher.limited_services
             },
         )
 
     def _drop_lost(self) -> None:
-        """Forget the jobs of those that are not heard any more."""
+        """Drop the jobs of peers that are no longer heard from."""
         now = self._loop.time()
-        drop_s = max(_DROP_S, self._links.lost_s)
+        drop_s = max(_DROP_JOBS_AFTER_S, self._links.lost_s)
         for peer in self._links.peers.values():
             heard_s = now - peer.heard_at
             if heard_s > drop_s and peer.name not in self._dropped:
                 self._dropped.add(peer.name)
                 self._dispatcher.drop_jobs(f'{peer.name}/')
 
-    def _take_ask(self, peer: str, job: Job) -> None:
+    def _handle_ask(self, peer: str, job: Job) -> None:
         origin = self._origins.setdefault(
             peer,
             PeerOrigin(self._links, peer),
         )
         self._dispatcher.ask(job, origin)
         if self._dispatcher.is_waiting(job.key):
-            self._talk.queued(peer, job.key)
+            self._messages.queued(peer, job.key)
 
-    def _take_answers(self, peer: str, batch: peers_pb2.Batch) -> None:
+    def _handle_answers(self, peer: str, batch: peers_pb2.Batch) -> None:
         for key in batch.queued:
             ticket = self._tickets.get(key)
             if ticket is not None and ticket.owner == peer:
                 _stop_timer(ticket)
         for grant in batch.grants:
-            self._take_grant(peer, grant)
+            self._handle_grant(peer, grant)
         for give_up in batch.give_ups:
             ticket = self._tickets.get(give_up.key)
             if ticket is not None and ticket.owner == peer:
                 self.given_up(decode_give_up(give_up))
 
-    def _take_grant(self, peer: str, grant: peers_pb2.Grant) -> None:
+    def _handle_grant(self, peer: str, grant: peers_pb2.Grant) -> None:
         key = grant.key
         incarnation = grant.upstream
         ticket = self._tickets.get(key)
@@ -309,56 +310,57 @@
             return
         if upstream is None or not self.is_usable(upstream):
             self._refuse_grant(peer, key, incarnation)
-            self._decide_here(ticket)
+            self._decide_locally(ticket)
             return
-        ticket.told.add(peer)
+        ticket.informed.add(peer)
         self._dispatcher.note_running(ticket.job, incarnation)
         self.granted(Granted(key, upstream, grant.forecast_ms / _MILLI))
 
     def _refuse_grant(self, peer: str, key: str, incarnation: str) -> None:
         service = self._dispatcher.service_of(incarnation)
         report = RunReport(Ending.left, 0)
-        self._talk.done(peer, key, service, incarnation, report)
-        # What was told before may have been lost with a stream.
-        self.upstream_news.tell_again(peer, incarnation)
+        self._messages.done(peer, key, service, incarnation, report)
+        # An earlier notice may have been lost with its stream.
+        self.upstream_news.resend_leaving(peer, incarnation)
 
     def _ask(self, ticket: _Ticket, owner: str | None) -> None:
         service = ticket.job.service
         self._alone[service].discard(ticket.job.key)
         if owner is None:
-            if self._owners.is_alone(service):
-                self._decide_alone(ticket)
+            if self._owners.has_only_remote_owners(service):
+                self._decide_without_owner(ticket)
                 return
-            self._decide_here(ticket)
+            self._decide_locally(ticket)
             return
-        if not self._talk.ask(owner, ticket.job):
-            self._decide_here(ticket)
+        if not self._messages.ask(owner, ticket.job):
+            self._decide_locally(ticket)
             return
         ticket.held = False
         ticket.owner = owner
         ticket.asked_at = self._loop.time()
         ticket.timer = self._loop.call_later(
             _ANSWER_S,
-            self._unanswered,
+            self._on_ask_timeout,
             ticket,
         )
 
     def _next_owner(self, ticket: _Ticket) -> str | None:
         job = ticket.job
         left_s = job.due_at - self._loop.time()
-        return self._owners.next_for(
+        return self._owners.next_owner(
             job.service,
             ticket.unanswered,
             left_s,
             _ANSWER_S,
         )
 
-    def _decide_alone(self, ticket: _Ticket) -> None:
-        """Decide beside instances that do the same: fill a part only.
+    def _decide_without_owner(self, ticket: _Ticket) -> None:
+        """Decide locally without an owner, using only a share of the slots.
 
-        Otherwise as many requests reach an upstream as instances have one,
-        and it rejects what is above its places. What is held is looked at
-        at every tick, so that fewer places than instances serve all in turn.
+        Other instances do the same. Without the share, each could send a
+        request to the same slot, and the upstream would reject the excess.
+        Held jobs are checked at every tick, so that all instances are served
+        in turn even if there are fewer slots than instances.
         """
         job = ticket.job
         alone = self._alone[job.service]
@@ -371,23 +373,24 @@
         late = self._loop.time() >= job.give_up_at - _HELD_MARGIN_S
         if late or not ticket.held:
             alone.add(job.key)
-            self._decide_here(ticket)
+            self._decide_locally(ticket)
 
-    def _decide_here(self, ticket: _Ticket) -> None:
+    def _decide_locally(self, ticket: _Ticket) -> None:
         _stop_timer(ticket)
         ticket.held = False
         ticket.owner = None
         self._dispatcher.ask(ticket.job, self)
 
-    def _unanswered(self, ticket: _Ticket) -> None:
+    def _on_ask_timeout(self, ticket: _Ticket) -> None:
         owner = ticket.owner
         if owner is None or ticket.fut.done():
             return
         self._owners.unanswered(owner, ticket.asked_at)
         self._log(Event.peer_down, peer=owner, cause='asks unanswered')
         ticket.unanswered += 1
-        self._tell_withdrawn(ticket)
-        # The next one counts for all who ask it; alone each counts its own.
+        self._send_withdrawal(ticket)
+        # The next owner counts the jobs of all instances that ask it, whereas
+        # an instance that decides alone counts only its own.
         self._ask(ticket, self._next_owner(ticket))
 
     def _withdraw(self, ticket: _Ticket) -> None:
@@ -399,13 +402,13 @@
         self._tickets.pop(ticket.job.key, None)
         self._alone[ticket.job.service].discard(ticket.job.key)
         self._dispatcher.withdraw(ticket.job.key)
-        self._tell_withdrawn(ticket)
+        self._send_withdrawal(ticket)
 
-    def _move(self, ticket: _Ticket) -> None:
+    def _reassign(self, ticket: _Ticket) -> None:
         owner = self._owners.usable(ticket.job.service)
         if ticket.upstream is not None:
-            if owner is not None and owner not in ticket.told:
-                self._tell_running(owner, ticket)
+            if owner is not None and owner not in ticket.informed:
+                self._send_running(owner, ticket)
             return
         if ticket.fut.done():
             return
@@ -416,21 +419,21 @@
         if ticket.owner is None:
             self._dispatcher.withdraw(ticket.job.key)
         else:
-            self._tell_withdrawn(ticket)
+            self._send_withdrawal(ticket)
         _stop_timer(ticket)
         self._ask(ticket, owner)
 
-    def _tell_running(self, owner: str, ticket: _Ticket) -> None:
+    def _send_running(self, owner: str, ticket: _Ticket) -> None:
         upstream = ticket.upstream
         if upstream is None:
             return
         begun = ticket.begun
-        if self._talk.running(owner, ticket.job, upstream, begun=begun):
-            ticket.told.add(owner)
+        if self._messages.running(owner, ticket.job, upstream, begun=begun):
+            ticket.informed.add(owner)
 
-    def _tell_withdrawn(self, ticket: _Ticket) -> None:
+    def _send_withdrawal(self, ticket: _Ticket) -> None:
         if ticket.owner is not None:
-            self._talk.withdrawn(ticket.owner, ticket.job.key)
+            self._messages.withdrawn(ticket.owner, ticket.job.key)
 
 
 def _stop_timer(ticket: _Ticket) -> None:
--- a/packages/entry/src/tallyhall_entry/store_calls.py
+++ b/packages/entry/src/tallyhall_entry/store_calls.py
@@ -1,4 +1,4 @@
-"""How often a fleet called its store, out of the log lines of all."""
+"""Computes a fleet's rate of store calls from its log lines."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class StoreCalls(msgspec.Struct, frozen=True):
-    """The calls of all instances.
+    """The store calls of all instances.
 
-    counts: numbers by kind, cause and outcome, joined by slashes. instances:
-    how many there were. lasted_s: time between the first and the last line.
+    counts: number of calls by kind, cause and outcome, joined by slashes.
+    instances: number of instances. lasted_s: time between the first and the
+    last line.
     """
 
     counts: Mapping[str, int]
@@ -23,12 +24,12 @@
     lasted_s: float
 
     def per_second(self, count: int) -> float:
-        """Return how many these are in a second of one instance."""
+        """Return a count as a rate per second and instance."""
         return count / max(1, self.instances) / max(1, self.lasted_s)
 
 
 def store_calls(texts: Iterable[str]) -> StoreCalls:
-    """Sum up what each start of each instance told last."""
+    """Sum the latest counts of each run of each instance."""
     newest: dict[str, Mapping[str, int]] = {}
     instances: set[str] = set()
     first_at = float('inf')
--- a/packages/entry/src/tallyhall_entry/talk.py
+++ b/packages/entry/src/tallyhall_entry/talk.py
@@ -1,4 +1,4 @@
-"""What instances tell each other beside the jobs: quotas, freshness, state."""
+"""Peer messages on quota usage, state confirmations and desired state."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 _MILLI = 1000
 _MICRO = 1_000_000
-# A newer desired state that a peer has is asked of it after this long: the
-# store normally brings it to all instances within a call.
-_FETCH_AFTER_S = 0.3
+# Delay before a newer desired state is fetched from a peer. Normally the store
+# delivers it to all instances within the time of one call.
+_FETCH_DELAY_S = 0.3
 
 
 class Talk:
-    """Reads and writes the parts of batches that concern no job."""
+    """Reads and writes the batch fields on quotas and desired state."""
 
     def __init__(
         self,
@@ -36,41 +36,42 @@
         take_raw_state: Callable[[bytes], None],
         log: EventLog,
     ) -> None:
-        """Keep the gate's knowledge of others."""
+        """Update this gate with the reports of peers."""
         self.leaving = False
         self._gate = gate
         self._links = links
         self._take_raw_state = take_raw_state
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._seen: dict[tuple[str, str, str], float] = {}
+        self._last_totals: dict[tuple[str, str, str], float] = {}
         self._hearing = Hearing()
-        self._returned: dict[tuple[str, str, str], float] = {}
-        self._fetching: asyncio.Task[None] | None = None
+        self._last_returned: dict[tuple[str, str, str], float] = {}
+        self._fetch_task: asyncio.Task[None] | None = None
 
     def take(
         self,
         peer: Peer,
         batch: peers_pb2.Batch,
     ) -> None:
-        """Take what another instance says."""
+        """Process a batch from a peer."""
         now = self._loop.time()
         self._adopt_use(batch, now)
         for spent in batch.spent:
-            self._take_spent(batch, spent, now)
+            self._handle_spent(batch, spent, now)
         self._hearing.heard(batch.sender, batch.incarnation, now)
-        self._take_confirmation(batch, now)
+        self._handle_confirmation(batch, now)
         newer = batch.state_version > self._gate.version
-        if newer and self._fetching is None:
+        if newer and self._fetch_task is None:
             work = self._fetch_state(peer.name)
-            self._fetching = asyncio.create_task(work)
+            self._fetch_task = asyncio.create_task(work)
 
     def fill(self, peer: Peer, batch: peers_pb2.Batch) -> None:
-        """Add what a batch for this peer says about this instance.
+        """Add the state of this instance to a batch for a peer.
 
-        Use that has not changed since the last batch is left out: reports
-        were half of the bytes between instances. Who does not know the use
-        of all hears it all the same, as it takes it from any batch.
+        Quota usage that has not changed since the last batch is left out, as
+        usage reports were half of the bytes between instances. A peer that
+        does not know the usage of the fleet is sent all of it every time, as
+        it may adopt the usage from any batch.
         """
         now = self._loop.time()
         age = self._gate.freshness.age(now)
@@ -79,21 +80,21 @@
         if age is not None:
             batch.confirmed_ms_ago = int(age * _MILLI) + 1
         batch.leaving = self.leaving
-        # Whom it counts and does not hear may have admitted much.
+        # Members that this instance does not hear from may have admitted much.
         hears_all = self._links.hears >= self._gate.instances
         batch.knows_use = hears_all and self._gate.quotas.knows_past(now)
         for name, use in self._gate.quotas.report(now).items():
-            if self._is_news(peer, name, use):
-                self._add_spent(batch.spent.add(), peer, name, use)
+            if self._must_report(peer, name, use):
+                self._fill_spent(batch.spent.add(), peer, name, use)
 
-    def _is_news(self, peer: Peer, name: str, use: UseReport) -> bool:
-        """Return whether a peer must be told of a use.
+    def _must_report(self, peer: Peer, name: str, use: UseReport) -> bool:
+        """Return whether a workspace's usage must be sent to a peer.
 
-        Hubs repeat what is used much, and tell once more when it is not:
-        others go by what was told last.
+        Hubs repeat high usage in every batch, and report it once more when it
+        is no longer high, since peers rely on the last report.
         """
         if peer.told.get(name) != use.total + use.returned:
-            # Both only grow.
+            # Neither ever decreases, so the sum changes if either does.
             return True
         if not peer.knows_use:
             return True
@@ -101,7 +102,7 @@
             return False
         return use.is_high or name in peer.told_high
 
-    def _add_spent(
+    def _fill_spent(
         self,
         spent: peers_pb2.Spent,
         peer: Peer,
@@ -116,17 +117,17 @@
         spent.fleet = use.fleet
         spent.rate = use.rate
         spent.leaves = use.leaves
-        seen_key = (peer.name, peer.incarnation, name)
-        spent.counted = self._seen.get(seen_key, 0)
+        run_key = (peer.name, peer.incarnation, name)
+        spent.counted = self._last_totals.get(run_key, 0)
         spent.returned = use.returned
         spent.oldest_return_s = use.oldest_return_s
         if name not in peer.told:
             _fill_parts(spent.own_parts, quotas.own_parts(name, now))
         if not peer.knows_use:
             _fill_parts(spent.fleet_parts, quotas.fleet_parts(name, now))
-        told = peer.told_returned.get(name, 0)
-        if use.returned > told:
-            _fill_parts(spent.returns, quotas.returns(name, told, now))
+        reported = peer.told_returned.get(name, 0)
+        if use.returned > reported:
+            _fill_parts(spent.returns, quotas.returns(name, reported, now))
         peer.told[name] = use.total + use.returned
         peer.told_returned[name] = use.returned
         if use.is_high:
@@ -134,24 +135,24 @@
         else:
             peer.told_high.discard(name)
 
-    def _take_spent(
+    def _handle_spent(
         self,
         batch: peers_pb2.Batch,
         spent: peers_pb2.Spent,
         now: float,
     ) -> None:
-        seen_key = _seen_key(batch, spent)
-        seen = self._seen.get(seen_key)
-        self._seen[seen_key] = spent.total
+        run_key = _run_key(batch, spent)
+        seen = self._last_totals.get(run_key)
+        self._last_totals[run_key] = spent.total
         if seen is None:
-            self._take_first(batch.sender, spent, now)
+            self._count_first_report(batch.sender, spent, now)
         else:
-            # What was told long ago may have left the window.
-            known = self._returned.get(seen_key, spent.returned)
+            # Usage reported long ago may have left the window.
+            known = self._last_returned.get(run_key, spent.returned)
             within = spent.within_window + spent.returned - known
             amount = min(spent.total - seen, within)
-            self._take_amount(batch.sender, spent.workspace, (0, amount), now)
-        self._take_returned(seen_key, spent, now)
+            self._count_amount(batch.sender, spent.workspace, (0, amount), now)
+        self._handle_returns(run_key, spent, now)
         if not is_mesh(self._links.instances):
             fleet = FleetUse(
                 batch.sender,
@@ -163,18 +164,18 @@
             )
             self._gate.quotas.heard(spent.workspace, fleet)
 
-    def _take_first(
+    def _count_first_report(
         self,
         sender: str,
         spent: peers_pb2.Spent,
         now: float,
     ) -> None:
-        """Take what one admitted before it was heard, by its age."""
-        parts = _parts(spent.own_parts) or ((0, spent.within_window),)
+        """Count what a sender admitted before its first report, by age."""
+        parts = _decode_parts(spent.own_parts) or ((0, spent.within_window),)
         for part in parts:
-            self._take_amount(sender, spent.workspace, part, now)
+            self._count_amount(sender, spent.workspace, part, now)
 
-    def _take_amount(
+    def _count_amount(
         self,
         sender: str,
         workspace: str,
@@ -187,20 +188,23 @@
         if not quotas.knows_past(now):
             self._hearing.reported(workspace, sender, amount, now)
 
-    def _take_returned(
+    def _handle_returns(
         self,
-        seen_key: tuple[str, str, str],
+        run_key: tuple[str, str, str],
         spent: peers_pb2.Spent,
         now: float,
     ) -> None:
-        """Take returns back where the oldest of them was charged."""
-        # A first report tells of the window less what was returned.
-        known = self._returned.get(seen_key, spent.returned)
-        self._returned[seen_key] = spent.returned
+        """Refund returned usage at the time at which it was charged.
+
+        Refunds of unknown age are applied at the time of the oldest one.
+        """
+        # In a first report, returns are already subtracted from the usage.
+        known = self._last_returned.get(run_key, spent.returned)
+        self._last_returned[run_key] = spent.returned
         left = spent.returned - known
         quotas = self._gate.quotas
-        for age_s, amount in _parts(spent.returns):
-            # What an earlier report told may be among them.
+        for age_s, amount in _decode_parts(spent.returns):
+            # These may include returns from an earlier report.
             part = min(left, amount)
             if part > 0:
                 quotas.returned(spent.workspace, part, now - age_s, now)
@@ -209,9 +213,9 @@
             oldest_at = now - spent.oldest_return_s
             quotas.returned(spent.workspace, left, oldest_at, now)
 
-    def _take_confirmation(self, batch: peers_pb2.Batch, now: float) -> None:
-        # The sender saw our question before it said how old its own
-        # confirmation was, so counting from the question is on the safe side.
+    def _handle_confirmation(self, batch: peers_pb2.Batch, now: float) -> None:
+        # The sender had read our question before it stated the age of its
+        # confirmation, so counting from the question is conservative.
         if batch.state_version != self._gate.version:
             return
         asked_at = batch.echo_us / _MICRO
@@ -226,7 +230,7 @@
         if not batch.knows_use or quotas.knows_past(now):
             return
         of = self._links.instances
-        if not self._is_whole(batch, now):
+        if not self._knows_fleet_usage(batch, now):
             return
         self._log.event(
             Event.use_adopted,
@@ -236,43 +240,46 @@
         )
         quotas.adopt(
             {
-                spent.workspace: self._others_parts(batch.sender, spent, now)
+                spent.workspace: self._other_instances_parts(
+                    batch.sender, spent, now
+                )
                 for spent in batch.spent
             },
             now,
         )
-        for told in batch.spent:
-            # The sender's own use is in its sum, less what it returned.
-            key = _seen_key(batch, told)
-            self._seen[key] = told.total
-            self._returned[key] = told.returned
+        for spent in batch.spent:
+            # The sender's sum includes its own usage, less its returns.
+            key = _run_key(batch, spent)
+            self._last_totals[key] = spent.total
+            self._last_returned[key] = spent.returned
 
-    def _others_parts(
+    def _other_instances_parts(
         self,
         sender: str,
         spent: peers_pb2.Spent,
         now: float,
     ) -> Parts:
-        """Return the use of all others as the sender of a report knows it.
+        """Return the usage of all other instances according to a sender.
 
-        Its sum holds our own part less what we returned, if it knows that
-        already; else the result is too high by it. Ours is the youngest.
+        The sender's sum includes this instance's usage less its returns. If the
+        sender does not know of the returns yet, the result is too high by them.
+        This instance's usage is assumed to be the most recent part.
         """
         name = spent.workspace
         own = spent.counted - self._gate.quotas.own_returned(name)
-        parts = _parts(spent.fleet_parts) or ((0, spent.fleet),)
-        others = _without(parts, max(0, own))
+        parts = _decode_parts(spent.fleet_parts) or ((0, spent.fleet),)
+        others = _subtract_newest(parts, max(0, own))
         if not is_mesh(self._links.instances):
             return others
-        # In a mesh all others have reported; what they told just now may not
-        # be known to the sender.
+        # In a mesh all others have reported to this instance. The sender may
+        # not know their most recent reports yet.
         return (*others, (0, self._hearing.just_told(name, sender, now)))
 
-    def _is_whole(self, batch: peers_pb2.Batch, now: float) -> bool:
-        """Return whether the sender knows the use of all that count here.
+    def _knows_fleet_usage(self, batch: peers_pb2.Batch, now: float) -> bool:
+        """Return whether the sender knows the usage of all fleet members.
 
-        Who hears a part of the fleet knows a part of its use; what was
-        recalled from the store is more than that.
+        A sender that hears only a part of the fleet knows only a part of its
+        usage, which is less than what was recalled from the store.
         """
         registered = self._links.registered
         if batch.sender not in registered or batch.hears < len(registered):
@@ -283,32 +290,32 @@
         return self._hearing.heard_long(registered, now) == others
 
     async def _fetch_state(self, peer: str) -> None:
-        await asyncio.sleep(_FETCH_AFTER_S)
+        await asyncio.sleep(_FETCH_DELAY_S)
         raw = await self._links.fetch_state(peer)
-        self._fetching = None
+        self._fetch_task = None
         if raw:
             self._take_raw_state(raw)
             self._log.event(Event.state_taken, peer=peer)
 
 
-def _seen_key(
+def _run_key(
     batch: peers_pb2.Batch,
     spent: peers_pb2.Spent,
 ) -> tuple[str, str, str]:
     return batch.sender, batch.incarnation, spent.workspace
 
 
-def _fill_parts(told: Any, parts: Parts) -> None:
+def _fill_parts(message: Any, parts: Parts) -> None:
     for age_s, amount in parts:
-        told.add(age_s=age_s, amount=amount)
+        message.add(age_s=age_s, amount=amount)
 
 
-def _parts(told: Iterable[peers_pb2.Part]) -> Parts:
-    return tuple((part.age_s, part.amount) for part in told)
+def _decode_parts(messages: Iterable[peers_pb2.Part]) -> Parts:
+    return tuple((part.age_s, part.amount) for part in messages)
 
 
-def _without(parts: Parts, amount: float) -> Parts:
-    """Return parts less an amount, taken off the youngest."""
+def _subtract_newest(parts: Parts, amount: float) -> Parts:
+    """Return parts less an amount, subtracted from the most recent ones."""
     kept = []
     for age_s, held in sorted(parts):
         taken = min(held, amount)
--- a/packages/entry/src/tallyhall_entry/telemetry.py
+++ b/packages/entry/src/tallyhall_entry/telemetry.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics of requests."""
+"""Request logging and metrics."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class RequestTelemetry:
-    """Counts what the log tells about requests; a `Telemetry`."""
+    """Logs request events and updates request metrics; a `Telemetry`."""
 
     def __init__(self, log: EventLog, metrics: Metrics) -> None:
-        """Write to these."""
+        """Write to this log and these metrics."""
         self._log = log
         self._metrics = metrics
 
     def event(self, event: Event, **fields: object) -> None:
-        """Log an event of a request."""
+        """Log a request event and update the metrics that depend on it."""
         if event is Event.refused:
             self._metrics.refusals[str(fields['reason'])] += 1
         elif event is Event.send_ended:
--- a/packages/entry/src/tallyhall_entry/upstream_news.py
+++ b/packages/entry/src/tallyhall_entry/upstream_news.py
@@ -1,8 +1,9 @@
-"""What upstreams say of themselves in answers, known to all instances.
+"""Shares with all instances what upstreams announce in their responses.
 
-An answer reaches the instance that asked, and requests are placed by another
-one. So what is new in an answer is told to all at once, in a large fleet
-through the hubs, and to each on whose stream nothing was said yet.
+A response arrives at the instance that sent the request, but another instance
+may schedule the next requests. So new announcements are broadcast at once, in a
+large fleet through the hubs, and are sent to each peer when a stream to it
+opens.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
 
-# Limits that change with each answer are told this often, in seconds, so that
-# hubs of some hundred instances bear it.
-_GATHER_S = 0.2
+# Minimum interval between broadcasts of limits, in seconds. Limits may change
+# with each response, and a hub serves several hundred instances.
+_BROADCAST_INTERVAL_S = 0.2
 _MILLI = 1000
-_OWN = 'own'
+_OWN_SOURCE = 'own'
 
 
-class UpstreamNews:
-    """Hears upstreams and other instances, and tells these."""
+class UpstreamAnnouncements:
+    """Applies the announcements of upstreams and forwards them to peers."""
 
     def __init__(
         self,
@@ -36,22 +37,22 @@
         links: PeerLinks,
         log: Callable[..., None],
     ) -> None:
-        """Let this dispatcher act on what is heard."""
+        """Apply announcements to this dispatcher."""
         self._dispatcher = dispatcher
         self._links = links
         self._log = log
         self._loop = asyncio.get_running_loop()
-        # Upstreams whose limits are to be told, each with who told it here.
-        self._untold: dict[str, str] = {}
+        # Upstreams whose limits are to be sent, each with its source.
+        self._unsent: dict[str, str] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     # -- from upstreams
 
     def leaves(self, incarnation: str) -> None:
-        """Take that an upstream says that it leaves."""
+        """Record that an upstream announced that it is leaving."""
         if self._dispatcher.leaves(incarnation):
             self._log(Event.upstream_leaves, upstream=incarnation)
-            self._tell_leaving(incarnation, _OWN)
+            self._broadcast_leaving(incarnation, _OWN_SOURCE)
 
     def names_limit(
         self,
@@ -59,20 +60,20 @@
         per_s: float | None,
         asked_at: float,
     ) -> None:
-        """Take the limit that an answer names, None if it names none.
+        """Record the limit stated in a response, None if it states none.
 
-        asked_at: when the request was sent that it answers.
+        asked_at: time at which the request of this response was sent.
         """
         known = self._dispatcher.named_limits
         if per_s is None and not known.is_taken_back(incarnation, asked_at):
             return
         word = NamedLimit(per_s, self._loop.time())
-        self._take_limit(incarnation, word, _OWN)
+        self._apply_limit(incarnation, word, _OWN_SOURCE)
 
-    # -- from others
+    # -- peer callbacks
 
     def on_opened(self, peer: Peer) -> None:
-        """Tell one on whose stream nothing was said yet."""
+        """Send all known announcements on a newly opened stream."""
         batch = self._links.outgoing(peer.name, urgent=False)
         if batch is None:
             return
@@ -81,32 +82,32 @@
             self._fill_limit(batch, incarnation, word)
 
     def take(self, peer: Peer, batch: peers_pb2.Batch) -> None:
-        """Take what another instance tells."""
+        """Process announcements received from a peer."""
         for leaver in batch.leaving_upstreams:
             if self._dispatcher.leaves(leaver) and self._links.tells_on:
-                self._tell_leaving(leaver, peer.name)
-        for told in batch.named_limits:
-            self._take_told(peer.name, told)
+                self._broadcast_leaving(leaver, peer.name)
+        for message in batch.named_limits:
+            self._handle_limit(peer.name, message)
 
-    def tell_again(self, peer: str, incarnation: str) -> None:
-        """Tell one that may not have heard that an upstream leaves."""
+    def resend_leaving(self, peer: str, incarnation: str) -> None:
+        """Resend to a peer that an upstream is leaving, if that is known."""
         if incarnation in self._dispatcher.leavers:
             batch = self._links.outgoing(peer, urgent=True)
             if batch is not None:
                 batch.leaving_upstreams.append(incarnation)
 
-    # -- inner steps
+    # -- implementation
 
-    def _take_told(self, peer: str, told: peers_pb2.NamedLimit) -> None:
-        heard_at = self._loop.time() - told.heard_ms_ago / _MILLI
-        word = NamedLimit(None if told.ended else told.per_s, heard_at)
-        if self._dispatcher.named_limits.contradicted(told.upstream, word):
-            # Others may have believed it.
-            self._tell_limit(told.upstream, _OWN)
+    def _handle_limit(self, peer: str, message: peers_pb2.NamedLimit) -> None:
+        heard_at = self._loop.time() - message.heard_ms_ago / _MILLI
+        word = NamedLimit(None if message.ended else message.per_s, heard_at)
+        if self._dispatcher.named_limits.contradicted(message.upstream, word):
+            # Other peers may have accepted the outdated limit.
+            self._broadcast_limit(message.upstream, _OWN_SOURCE)
             return
-        self._take_limit(told.upstream, word, peer)
+        self._apply_limit(message.upstream, word, peer)
 
-    def _take_limit(self, incarnation: str, word: NamedLimit, by: str) -> None:
+    def _apply_limit(self, incarnation: str, word: NamedLimit, by: str) -> None:
         if not self._dispatcher.named_limits.take(incarnation, word):
             return
         self._log(
@@ -116,34 +117,39 @@
             by=by,
         )
         self._dispatcher.apply_limits()
-        if by == _OWN or self._links.tells_on:
-            self._tell_limit(incarnation, by)
+        if by == _OWN_SOURCE or self._links.tells_on:
+            self._broadcast_limit(incarnation, by)
 
-    def _tell_leaving(self, incarnation: str, by: str) -> None:
-        """Tell all but who told it."""
+    def _broadcast_leaving(self, incarnation: str, by: str) -> None:
+        """Broadcast that an upstream is leaving, except to the source."""
         for name in self._links.peers.keys() - {by}:
-            self.tell_again(name, incarnation)
+            self.resend_leaving(name, incarnation)
 
-    def _tell_limit(self, incarnation: str, by: str) -> None:
-        """Tell all but who told it; the next ones wait for each other."""
-        self._untold[incarnation] = by
+    def _broadcast_limit(self, incarnation: str, by: str) -> None:
+        """Broadcast a limit, except to its source.
+
+        The first is sent at once, the following ones are batched.
+        """
+        self._unsent[incarnation] = by
         if self._timer is None:
-            self._tell_untold()
+            self._send_unsent()
 
-    def _tell_untold(self) -> None:
+    def _send_unsent(self) -> None:
         self._timer = None
-        if not self._untold:
+        if not self._unsent:
             return
-        untold = self._untold
-        self._untold = {}
+        unsent = self._unsent
+        self._unsent = {}
         for name in self._links.peers:
-            self._tell(
+            self._send_limits(
                 name,
-                [one for one, by in untold.items() if by != name],
+                [one for one, by in unsent.items() if by != name],
             )
-        self._timer = self._loop.call_later(_GATHER_S, self._tell_untold)
+        self._timer = self._loop.call_later(
+            _BROADCAST_INTERVAL_S, self._send_unsent
+        )
 
-    def _tell(self, peer: str, incarnations: Collection[str]) -> None:
+    def _send_limits(self, peer: str, incarnations: Collection[str]) -> None:
         if not incarnations:
             return
         batch = self._links.outgoing(peer, urgent=True)
--- a/tests/platform/test_asks.py
+++ b/tests/platform/test_asks.py
@@ -1,25 +1,21 @@
-"""Requests that ask owners which are late, cut off or stopping.
-
-Requests of a large fleet waited until they were given up while places were
-free. In order: an owner got no processor time for 0.1 s, a request that
-waited there asked the next owner, and was moved back 0.3 s later. Its
-withdrawal from the first owner was still unsent, since withdrawals wait for
-the next beat (1.1 s at 87 instances), and left in one batch with the new ask.
-The owner took the ask, answered "queued", then took the withdrawal and forgot
-the job; the request trusted the answer and asked nobody else. Proof: two
-instances over links with such beats: the owner does not hold the job that its
-asker believes to be queued there, and a place that is free again is granted
-to nobody.
-
-Requests were rejected by engines while all instances stopped at once. Nobody
-owned a service any more, and an instance without owners took itself for the
-only one: each filled all places. Proof: six stopping instances, 24 requests:
-24 at once on an engine with 4 places.
-
-Requests whose owners were cut off were in no queue for half of the time.
-Every 0.3 s a request left the queue of its own instance and asked the silent
-owners again. Proof: a request whose owners never answer asks them anew after
-each 0.3 s. A request due soon spent 180 ms on three silent owners, too.
+"""Requests that ask slow, partitioned or stopping owners.
+
+Guards against three failures:
+
+Lost jobs. When an owner got no CPU time for 0.1 s, a request queued there asked
+the next owner and moved back 0.3 s later. Withdrawals wait for the next
+heartbeat (1.1 s at 87 instances), so the withdrawal was sent in one batch with
+the new ask. The owner accepted the ask, responded "queued", and then processed
+the withdrawal and dropped the job. The request waited until it was given up
+although slots were free.
+
+Overfilled engines. When all instances stopped at once, no instance owned a
+service, and each considered itself the only one and filled all slots: with six
+stopping instances 24 requests ran at once on an engine with 4 slots.
+
+Repeated asks. A request whose owners were partitioned left the local queue
+every 0.3 s to ask them again, and so was in no queue for half of the time. A
+request that was due soon spent 180 ms on three unresponsive owners.
 """
 
 import asyncio
@@ -33,7 +29,7 @@
 from tallyhall_dispatch.jobs import Ending, Job, RunReport
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_entry import shared
-from tallyhall_entry.knowledge import Known
+from tallyhall_entry.knowledge import PeerKnowledge
 from tallyhall_entry.neighbours import Seen
 from tallyhall_platform.decode import decode_state
 from tallyhall_transport.generated import peers_pb2
@@ -45,25 +41,25 @@
 _TICK_S = 0.05
 
 
-async def test_a_job_asked_again_is_not_forgotten(
+async def test_a_job_that_is_asked_for_again_is_not_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    net = _Net(monkeypatch, ('a', *_OWNERS))
-    first, second = net.owners()[:2]
+    network = _Network(monkeypatch, ('a', *_OWNERS))
+    first, second = network.owners()[:2]
     taken = Job('x/1', MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
     for owner in (first, second):
-        net.dispatchers[owner].note_running(taken, 'u')
-    net.late_s[first] = 0.1
-    asked = net.ask('a/1', due_s=5)
-    await net.run(0.15)
-    net.late_s.clear()
-    # The first owner is asked again, and a beat has not passed.
-    await net.run(0.6)
-    assert any(net.holds(name, 'a/1') for name in _OWNERS)
+        network.dispatchers[owner].note_running(taken, 'u')
+    network.late_s[first] = 0.1
+    asked = network.ask('a/1', due_s=5)
+    await network.run(0.15)
+    network.late_s.clear()
+    # The first owner is asked again before the next heartbeat.
+    await network.run(0.6)
+    assert any(network.holds(name, 'a/1') for name in _OWNERS)
     for owner in (first, second):
         report = RunReport(Ending.answered, 1)
-        net.dispatchers[owner].finish('x/1', MODEL, 'u', report)
-    await net.run(0.2)
+        network.dispatchers[owner].finish('x/1', MODEL, 'u', report)
+    await network.run(0.2)
     assert asked.done()
     await asked
 
@@ -71,24 +67,25 @@
 async def test_a_withdrawn_ask_is_not_queued(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An ask that is withdrawn before it left queues nothing."""
-    net = _Net(monkeypatch, ('a', *_OWNERS))
-    first = net.owners()[0]
+    """An ask that is withdrawn before it is sent queues nothing."""
+    network = _Network(monkeypatch, ('a', *_OWNERS))
+    first = network.owners()[0]
     taken = Job('x/1', MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
-    net.dispatchers[first].note_running(taken, 'u')
-    asked = net.ask('a/1', due_s=5)
+    network.dispatchers[first].note_running(taken, 'u')
+    asked = network.ask('a/1', due_s=5)
     asyncio.get_running_loop().call_soon(asked.cancel)
-    await net.run(0.2)
-    net.flush_all()
-    await net.run(0.1)
+    await network.run(0.2)
+    network.flush_all()
+    await network.run(0.1)
     assert asked.cancelled()
-    assert not net.holds(first, 'a/1')
+    assert not network.holds(first, 'a/1')
 
 
-async def test_a_stopping_fleet_counts_places(
+async def test_a_stopping_fleet_counts_slots(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # All share one loop, whose lateness must not count as their owner's.
+    # All instances share one event loop, whose delays must not count as an
+    # unresponsive owner.
     monkeypatch.setattr(shared, '_ANSWER_S', 5)
     async with deployment(6) as made:
         engine = await made.add_engine('model-0', event_s=0.02)
@@ -104,26 +101,26 @@
         await asyncio.gather(*stops)
 
 
-async def test_silent_owners_are_not_asked_again(
+async def test_unresponsive_owners_are_not_asked_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    net = _Net(monkeypatch, ('a', *_OWNERS))
-    net.lost.update(_OWNERS)
+    network = _Network(monkeypatch, ('a', *_OWNERS))
+    network.lost.update(_OWNERS)
     taken = Job('x/1', MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
-    net.dispatchers['a'].note_running(taken, 'u')
-    asked = net.ask('a/1', due_s=5)
-    await net.run(0.25)
-    assert net.asks() == list(net.owners())
-    await net.run(1)
-    assert net.asks() == list(net.owners())
-    # It hears again, and whoever waits asks it.
-    # One beat carries the question, the next one its answer.
-    net.lost.clear()
-    net.flush_all()
-    await net.run(0.1)
-    net.flush_all()
-    await net.run(0.2)
-    assert net.asks()[3:]
+    network.dispatchers['a'].note_running(taken, 'u')
+    asked = network.ask('a/1', due_s=5)
+    await network.run(0.25)
+    assert network.asks() == list(network.owners())
+    await network.run(1)
+    assert network.asks() == list(network.owners())
+    # Once the owners are reachable again, waiting requests ask them. One
+    # heartbeat carries the question, the next one its answer.
+    network.lost.clear()
+    network.flush_all()
+    await network.run(0.1)
+    network.flush_all()
+    await network.run(0.2)
+    assert network.asks()[3:]
     asked.cancel()
 
 
@@ -133,18 +130,18 @@
     due_s: float,
     expected: int,
 ) -> None:
-    net = _Net(monkeypatch, ('a', *_OWNERS))
-    net.lost.update(_OWNERS)
+    network = _Network(monkeypatch, ('a', *_OWNERS))
+    network.lost.update(_OWNERS)
     taken = Job('x/1', MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
-    net.dispatchers['a'].note_running(taken, 'u')
-    asked = net.ask('a/1', due_s=due_s)
-    await net.run(0.25)
-    assert len(net.asks()) == expected
+    network.dispatchers['a'].note_running(taken, 'u')
+    asked = network.ask('a/1', due_s=due_s)
+    await network.run(0.25)
+    assert len(network.asks()) == expected
     asked.cancel()
 
 
 class _Links:
-    """Batches leave at once if urgent, else when they are flushed."""
+    """Links that send urgent batches at once, and others when flushed."""
 
     def __init__(
         self,
@@ -176,17 +173,17 @@
 
 
 class _Neighbours:
-    """All four owners count, however long they are silent."""
+    """Considers all four owners live, even if they are unresponsive."""
 
     def __init__(self, name: str, links: object) -> None:
-        """Look at nothing."""
+        """Ignore the arguments."""
 
     def look(self, now: float, *, leaving: bool) -> Seen:
         return Seen(frozenset(_OWNERS), frozenset(_OWNERS), 5, 5)
 
 
-class _Net:
-    """Schedulers over links of 2 ms; `lost` are cut off."""
+class _Network:
+    """Schedulers over links with 2 ms delay; those in `lost` are isolated."""
 
     def __init__(
         self,
@@ -194,7 +191,7 @@
         names: tuple[str, ...],
     ) -> None:
         monkeypatch.setattr(shared, 'Neighbours', _Neighbours)
-        monkeypatch.setattr(shared, 'known', _known_of)
+        monkeypatch.setattr(shared, 'known', _no_knowledge)
         self.late_s: dict[str, float] = {}
         self.lost: set[str] = set()
         self.sent: list[tuple[str, str]] = []
@@ -228,14 +225,14 @@
         return asyncio.create_task(self.schedulers['a'].acquire(job))
 
     def flush_all(self) -> None:
-        """Let a beat pass between all."""
+        """Send a heartbeat between all instances."""
         for name, links in self.links.items():
             for other in self.links.keys() - {name}:
                 links.outgoing(other, urgent=False)
                 links.flush(other)
 
     async def run(self, for_s: float) -> None:
-        """Let time pass; each tick, the asker looks after its requests."""
+        """Let time pass, with regular ticks of the asking scheduler."""
         for _ in range(round(for_s / _TICK_S)):
             await asyncio.sleep(_TICK_S)
             self.schedulers['a'].tick()
@@ -259,8 +256,8 @@
         self.schedulers[to].on_batch(peer, batch)
 
 
-def _known_of(*_: Any, **_more: Any) -> Known:
-    return Known()
+def _no_knowledge(*_: Any, **_more: Any) -> PeerKnowledge:
+    return PeerKnowledge()
 
 
 def _log(*_: Any, **_more: Any) -> None:
--- a/tests/platform/test_guard.py
+++ b/tests/platform/test_guard.py
@@ -1,4 +1,4 @@
-"""How instances share what they know of ends, and agree on trials."""
+"""Sharing of upstream crashes between instances, and claims on trials."""
 
 import asyncio
 import base64
@@ -32,17 +32,17 @@
 
 from tests.platform.harness import HOST, log_stream, until
 
-_DAY_S = 1_700_000_000.0
+_NOW_S = 1_700_000_000.0
 _LARGE = 195
 _HUBS = 4
-# Longer than a hub gathers what it tells on.
-_PASSED_ON_S = 0.05
+# Longer than a hub collects records before it forwards them.
+_FORWARDED_S = 0.05
 
 
 def _records(ends: int) -> EndRecords:
-    """Return what was written of a request after so many ends."""
+    """Return the records of a request after this many upstream crashes."""
     runs = (EndedRun('x', ends),)
-    return EndRecords((UpstreamEnd(f'u{ends}', _DAY_S, runs),), ())
+    return EndRecords((UpstreamEnd(f'u{ends}', _NOW_S, runs),), ())
 
 
 @contextlib.asynccontextmanager
@@ -57,7 +57,7 @@
 
 
 def _ignore(*_: object, **fields: object) -> None:
-    """Take anything."""
+    """Ignore all arguments."""
 
 
 def _recorder(address: Listening, name: str = 'a') -> EndRecorder:
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Links:
-    """Streams to peers that take everything."""
+    """Links that record the batches sent to each peer."""
 
     instances: int
     peers: dict[str, Peer]
@@ -86,12 +86,12 @@
         cast(PeerLinks, links),
         recorder,
         EventLog(log_stream()),
-        lambda: _DAY_S,
+        lambda: _NOW_S,
     )
 
 
-async def test_one_trial_runs_in_the_fleet() -> None:
-    """Two instances that do not hear each other."""
+async def test_only_one_trial_runs_in_the_fleet() -> None:
+    """Two instances that get no messages from each other share one claim."""
     async with _store() as (_, address):
         guards = [_guard(_recorder(address, name)) for name in 'ab']
         for guard in guards:
@@ -107,7 +107,7 @@
         assert (await guards[0].permit('x')).is_trial
 
 
-async def test_without_a_store_nothing_is_tried() -> None:
+async def test_no_trial_runs_without_the_store() -> None:
     async with _store() as (store, address):
         guard = _guard(_recorder(address))
         guard.take_stored(_records(2))
@@ -116,7 +116,7 @@
             await guard.permit('x')
 
 
-async def test_one_end_needs_no_store() -> None:
+async def test_a_request_with_one_crash_needs_no_store() -> None:
     async with _store() as (store, address):
         store.fault = StoreFault.silent
         guard = _guard(_recorder(address))
@@ -126,7 +126,7 @@
         assert not permit.is_trial
 
 
-async def test_a_success_frees_those_that_were_not_told() -> None:
+async def test_a_stored_success_clears_a_request() -> None:
     async with _store() as (store, address):
         recorder = _recorder(address)
         writing = asyncio.create_task(recorder.run())
@@ -145,8 +145,8 @@
         other.check('x')
 
 
-async def test_records_outlast_a_store_that_fails() -> None:
-    """What comes meanwhile is written too, and nothing is overwritten."""
+async def test_records_survive_store_failures() -> None:
+    """Records made meanwhile are written, too, and none is overwritten."""
     async with _store() as (store, address):
         recorder = _recorder(address)
         writing = asyncio.create_task(recorder.run())
@@ -170,52 +170,52 @@
     ]
 
 
-def test_records_are_read_as_they_are_written() -> None:
+def test_encoded_records_decode_to_the_same() -> None:
     records = _records(3)
     assert decode_ends(encode_ends(records)) == records
 
 
-async def test_hubs_tell_on_what_is_news() -> None:
-    """And nobody else does, nor twice, nor back."""
+async def test_hubs_forward_new_records() -> None:
+    """Not in a mesh, not twice, and not back to the sender."""
     async with _store() as (_, address):
-        told = _told()
+        batch = _ended_batch()
         peers = {name: Peer(name) for name in ('a', 'b', 'c')}
         hub = _Links(_LARGE, peers)
         guard = _guard(_recorder(address), hub)
         hub.is_hub = True
-        guard.take(peers['a'], told)
-        await asyncio.sleep(_PASSED_ON_S)
+        guard.take(peers['a'], batch)
+        await asyncio.sleep(_FORWARDED_S)
         assert hub.sent.keys() == {'b', 'c'}
-        guard.take(peers['b'], told)
-        await asyncio.sleep(_PASSED_ON_S)
+        guard.take(peers['b'], batch)
+        await asyncio.sleep(_FORWARDED_S)
         assert len(hub.sent['c'].ended) == 1
         assert 'a' not in hub.sent
         in_mesh = _Links(3, peers)
         in_mesh.is_hub = True
         one = _guard(_recorder(address), in_mesh)
-        one.take(peers['a'], told)
-        await asyncio.sleep(_PASSED_ON_S)
+        one.take(peers['a'], batch)
+        await asyncio.sleep(_FORWARDED_S)
         assert not in_mesh.sent
 
 
 @pytest.mark.parametrize('size', [195, 410])
-async def test_a_large_fleet_knows_within_a_moment(size: int) -> None:
-    """Ten instances had runs at the upstream; each tells its hubs."""
+async def test_a_large_fleet_learns_of_crashes_quickly(size: int) -> None:
+    """Ten instances had runs on the upstream, and each informs its hubs."""
     async with _store() as (_, address):
         fleet = _Fleet(size, _recorder(address))
         for serial in range(10):
             run = EndedRun(f'run {serial}', 3)
             fleet.sees_end(_HUBS + serial, run)
         fleet.deliver()
-        await asyncio.sleep(_PASSED_ON_S)
+        await asyncio.sleep(_FORWARDED_S)
         batches = fleet.deliver()
         for guard in fleet.guards:
             for serial in range(10):
                 with pytest.raises(RefusedError):
                     guard.check(f'run {serial}')
-        # One from each hub to each of the others, and no echo of these.
+        # One from each hub to each other instance, none of them forwarded.
         assert batches <= _HUBS * size
-        await asyncio.sleep(_PASSED_ON_S)
+        await asyncio.sleep(_FORWARDED_S)
         assert not fleet.deliver()
 
 
@@ -223,7 +223,7 @@
     """Instances with streams to and from a few hubs."""
 
     def __init__(self, size: int, recorder: EndRecorder) -> None:
-        """Start all; the first few are the hubs."""
+        """Create all instances; the first ones are hubs."""
         names = [f'n{number}' for number in range(size)]
         self.links: list[_Links] = []
         self.guards: list[SharedGuard] = []
@@ -236,31 +236,31 @@
             self.guards.append(guard)
 
     def sees_end(self, number: int, run: EndedRun) -> None:
-        """Let an instance see that an upstream ended under a run."""
+        """Let an instance detect that an upstream crashed during a run."""
         upstream = Upstream('u', 'svc', HOST, 1, 'a', 9, leaving=False)
         self.guards[number]._on_end(upstream, (run,))  # noqa: SLF001
 
     def deliver(self) -> int:
-        """Bring all batches to their receivers; return how many."""
+        """Deliver all batches to their receivers; return their number."""
         sent = 0
         for number, links in enumerate(self.links):
             batches = links.sent
             links.sent = {}
             for name, batch in batches.items():
                 sent += 1
-                taker = self.guards[int(name[1:])]
-                taker.take(Peer(f'n{number}'), batch)
+                receiver = self.guards[int(name[1:])]
+                receiver.take(Peer(f'n{number}'), batch)
         return sent
 
 
-def _told() -> Any:
+def _ended_batch() -> Any:
     batch = peers_pb2.Batch()
-    ended = batch.ended.add(upstream='u', at_s=_DAY_S)
+    ended = batch.ended.add(upstream='u', at_s=_NOW_S)
     ended.runs.add(content='x', ends=1)
     return batch
 
 
-async def test_a_claim_that_is_lost_lapses() -> None:
+async def test_a_claim_without_a_response_expires() -> None:
     async with _store() as (store, address):
         recorder = _recorder(address)
         store.fault = StoreFault.loses_answers
--- a/tests/platform/test_logs.py
+++ b/tests/platform/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, never in the way, and enough to explain a failure."""
+"""Log lines are bounded, never block, and suffice to explain a failure."""
 
 import os
 import re
@@ -37,7 +37,7 @@
     assert listed == names
 
 
-def test_a_reader_that_stops_holds_nothing_up() -> None:
+def test_a_stopped_reader_does_not_block() -> None:
     reader, writer = os.pipe()
     stream = setup_logging('test', time.monotonic, writer)
     log = EventLog(stream)
@@ -100,7 +100,7 @@
     assert not any(check_line(line) for line in lines)
 
 
-def test_texts_that_are_no_lines() -> None:
+def test_invalid_lines_are_rejected() -> None:
     for text in ('', 'nonsense', '{"a": 1}', '{broken', '[1]', '{"time": {}'):
         assert read_line(text) is None
         assert check_line(text) is not None
@@ -114,7 +114,7 @@
         (('logs',), 1, '1 lines, 1 wrong'),
     ],
 )
-def test_commands_say_what_is_wrong(
+def test_commands_report_errors(
     args: tuple[str, ...],
     code: int,
     text: str,
@@ -132,7 +132,7 @@
     assert 'Traceback' not in done.stderr
 
 
-async def test_a_header_that_nobody_reads_is_told_once(
+async def test_an_unread_header_is_logged_once(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / 'log'
--- a/tests/platform/test_losses.py
+++ b/tests/platform/test_losses.py
@@ -1,4 +1,4 @@
-"""What was late or not served is found in log lines, each once."""
+"""Late and unserved requests are found in log lines, each exactly once."""
 
 from __future__ import annotations
 
@@ -44,7 +44,9 @@
     )
 
 
-def _visit(request: str, at_s: float, outcome: str, **fields: Any) -> list[str]:
+def _request_lines(
+    request: str, at_s: float, outcome: str, **fields: Any
+) -> list[str]:
     return [
         _line(Event.admitted, at_s, request=request, route='chat'),
         _line(
@@ -63,12 +65,12 @@
     return found[0].cause if found else None
 
 
-def test_what_was_answered_in_time_is_not_lost() -> None:
-    found = losses(_visit('a', 0, 'answered'))
+def test_an_answer_in_time_is_not_lost() -> None:
+    found = losses(_request_lines('a', 0, 'answered'))
     assert (found.lost, found.seen, found.open) == ((), 1, 0)
 
 
-def test_a_late_answer_has_its_longest_part_as_the_cause() -> None:
+def test_the_cause_of_a_late_answer_is_its_longest_phase() -> None:
     for part, cause in (
         ('since_first_ms', Cause.came_back),
         ('waited_ms', Cause.waited),
@@ -76,34 +78,37 @@
         ('first_ms', Cause.unforeseen),
     ):
         late = _LATE | {part: 900}
-        assert _cause(*_visit('a', 0, 'answered', **late)) is cause
+        assert _cause(*_request_lines('a', 0, 'answered', **late)) is cause
     foreseen = _LATE | {'first_ms': 900, 'forecast_ms': 800}
-    assert _cause(*_visit('a', 0, 'answered', **foreseen)) is Cause.foreseen
+    assert (
+        _cause(*_request_lines('a', 0, 'answered', **foreseen))
+        is Cause.foreseen
+    )
 
 
-def test_an_answer_that_began_in_time_was_late_by_a_pause() -> None:
+def test_the_cause_of_a_late_answer_begun_in_time_is_a_pause() -> None:
     late = _LATE | {'late_ms': 0, 'pause_ms': 300}
-    assert _cause(*_visit('a', 0, 'answered', **late)) is Cause.paused
+    assert _cause(*_request_lines('a', 0, 'answered', **late)) is Cause.paused
     late |= {'is_resumed': True}
-    assert _cause(*_visit('a', 0, 'answered', **late)) is Cause.resent
+    assert _cause(*_request_lines('a', 0, 'answered', **late)) is Cause.resent
 
 
-def test_what_was_refused_says_whether_its_caller_had_come_back() -> None:
+def test_refusals_after_a_client_retry_are_distinguished() -> None:
     refused = 'deadline_unreachable'
-    assert _cause(*_visit('a', 0, refused)) is Cause.refused
-    again = _visit('a', 0, refused, since_first_ms=700)
+    assert _cause(*_request_lines('a', 0, refused)) is Cause.refused
+    again = _request_lines('a', 0, refused, since_first_ms=700)
     assert _cause(*again) is Cause.refused_again
     entry = _line(Event.refused, request='a', reason='unknown_key')
     assert _cause(entry) is Cause.not_allowed
 
 
-def test_what_may_have_run_was_failed_by_upstreams() -> None:
-    failed = _visit('a', 0, 'upstream_error', may_have_run=1)
+def test_upstream_failures_are_distinguished() -> None:
+    failed = _request_lines('a', 0, 'upstream_error', may_have_run=1)
     assert _cause(*failed) is Cause.failed
-    assert _cause(*_visit('a', 0, 'caller_left')) is Cause.caller_left
+    assert _cause(*_request_lines('a', 0, 'caller_left')) is Cause.caller_left
 
 
-def test_what_ends_with_its_instance_is_lost_with_it() -> None:
+def test_requests_of_a_lost_instance_are_lost() -> None:
     begun = _line(Event.admitted, 1, request='a', route='chat')
     assert losses([begun]).open == 1
     silent = _line(Event.admitted, 9, 'two', request='b', route='chat')
@@ -113,7 +118,7 @@
     assert _cause(begun, _line(Event.started, 2)) is Cause.instance_lost
 
 
-def test_dropped_lines_are_counted_once_a_start() -> None:
+def test_dropped_lines_are_counted_once_per_run() -> None:
     lines = [
         _line(Event.logs_dropped, at_s, served=served, others=2, unread=0)
         for at_s, served in ((1, 3), (2, 5))
@@ -123,8 +128,8 @@
     assert found.dropped == 8
 
 
-def test_callers_tell_of_requests_that_reached_no_instance() -> None:
-    found = losses(_visit('a', 0, 'answered'), ('a', 'b'))
+def test_requests_that_reached_no_instance_are_found() -> None:
+    found = losses(_request_lines('a', 0, 'answered'), ('a', 'b'))
     assert [(one.request, one.cause) for one in found.lost] == [
         ('b', Cause.unreached),
     ]
@@ -142,7 +147,9 @@
         max_size=20,
     ),
 )
-def test_sums_are_what_is_listed(drawn: list[tuple[str, float, str]]) -> None:
+def test_tables_sum_up_the_listed_losses(
+    drawn: list[tuple[str, float, str]],
+) -> None:
     lines: list[str] = []
     for number, (outcome, at_s, route) in enumerate(drawn):
         late: dict[str, Any] = _LATE if outcome == 'late' else {}
@@ -168,7 +175,9 @@
 
 def test_the_command_prints_tables_and_a_plot(tmp_path: pathlib.Path) -> None:
     log = tmp_path / 'one.log'
-    log.write_text('\n'.join(_visit('a', 0, 'deadline_unreachable')) + '\n')
+    log.write_text(
+        '\n'.join(_request_lines('a', 0, 'deadline_unreachable')) + '\n'
+    )
     plot = tmp_path / 'lost.svg'
     command = (
         sys.executable,
@@ -179,14 +188,14 @@
         '--weight',
         'chat=2.5',
     )
-    told = subprocess.run(
+    output = subprocess.run(
         (*command, '--plot', str(plot)),
         capture_output=True,
         text=True,
         check=True,
     ).stdout
-    assert '1 requests, 1 late or not served' in told
-    assert 'chat: 2.5' in told
+    assert '1 requests, 1 late or not served' in output
+    assert 'chat: 2.5' in output
     assert plot.read_text().lstrip().startswith('<?xml')
     wrong = subprocess.run(
         (*command, '--plot', str(tmp_path / 'lost.none')),
@@ -221,8 +230,11 @@
     )
 
 
-def test_a_refusal_is_held_against_what_was_really_used() -> None:
-    """Of 1000 in 8 s 900 were used, then 400; 300 was given back."""
+def test_refusals_are_compared_with_the_actual_usage() -> None:
+    """Of 1000 tokens in 8 s first 900 are used, later 400.
+
+    A refund of 400 leaves room for a request that was over the quota before.
+    """
     lines = [
         _charge('a', 1, 500),
         _charge('b', 5, 400),
--- a/tests/platform/test_neighbours.py
+++ b/tests/platform/test_neighbours.py
@@ -1,16 +1,13 @@
-"""Of how many instances the use of quotas is known here.
-
-In a play with 87 instances 26 were cut from the others, and workspaces
-went on having the whole quota on both sides of the cut. The order of events:
-each hub told how many it heard, with what other hubs had told it, so hubs
-told each other the number from before the cut. In a small fleet, where nobody
-passes on what others admitted, an instance that heard one other counted all
-that this one heard.
-
-Evidence: from 3.0 to 3.5 s after the cut, with 61 known, the logs of that play
-have 82 times instances_changed with hears 87, twice with 1, once with 19.
-
-Cause: a count heard from others was told on as one's own.
+"""The number of instances whose quota usage an instance knows.
+
+In a simulation 26 of 87 instances were partitioned from the others, and
+workspaces could use the whole quota on both sides of the partition. Each hub
+included in its count what other hubs had reported, so hubs kept repeating the
+count from before the partition to each other: with 61 instances registered, the
+logs from 3.0 to 3.5 s after the partition have 82 instances_changed events with
+hears=87, two with 1 and one with 19. In a small fleet, where no instance
+forwards reports, an instance that heard from one peer counted all instances
+that this peer heard from.
 """
 
 import asyncio
@@ -25,15 +22,18 @@
 from tallyhall_transport.peers import PeerLinks
 
 _CLOSED = PeerPlace('127.0.0.1:1', 1)
-_MANY = 18
+_LARGE_FLEET = 18
 
 
 def _ignore(*_: object, **fields: object) -> None:
-    """Take anything."""
+    """Ignore all arguments."""
+
 
+async def _derived_and_sent(others: int, answer: dict[str, int]) -> list[int]:
+    """Return the count an instance derives from peers, and the one it sends.
 
-async def _hears_and_tells(others: int, answer: dict[str, int]) -> list[int]:
-    """Return what one makes of these who answer, by what they say."""
+    answer: the count that each responding peer reports.
+    """
     links = PeerLinks('n0', 'n0', _ignore, _ignore, _ignore, _ignore)
     names = [f'n{number}' for number in range(1, others + 1)]
     links.take_peers(dict.fromkeys(names, _CLOSED))
@@ -50,21 +50,23 @@
     return [links.hears, batch.hears]
 
 
-async def test_in_a_small_fleet_only_those_heard_here_are_known() -> None:
-    assert await _hears_and_tells(6, {'n1': 7, 'n2': 7}) == [3, 3]
+async def test_a_small_fleet_counts_only_directly_heard_peers() -> None:
+    assert await _derived_and_sent(6, {'n1': 7, 'n2': 7}) == [3, 3]
 
 
-async def test_hubs_tell_only_whom_they_hear_themselves() -> None:
-    answer = {f'n{number}': _MANY for number in range(1, _MANY // 2)}
-    hears, tells = await _hears_and_tells(_MANY - 1, answer)
-    assert hears == _MANY
-    assert tells == _MANY // 2
+async def test_hubs_report_only_directly_heard_peers() -> None:
+    answer = {
+        f'n{number}': _LARGE_FLEET for number in range(1, _LARGE_FLEET // 2)
+    }
+    hears, tells = await _derived_and_sent(_LARGE_FLEET - 1, answer)
+    assert hears == _LARGE_FLEET
+    assert tells == _LARGE_FLEET // 2
 
 
-async def test_one_that_is_no_hub_any_more_has_told_nobody() -> None:
-    """It answers like a hub; others hear of our use from hubs only."""
+async def test_a_former_hub_forwards_nothing() -> None:
+    """It still answers, but other instances get reports only from hubs."""
     links = PeerLinks('n0', 'n0', _ignore, _ignore, _ignore, _ignore)
-    names = [f'n{number}' for number in range(1, _MANY)]
+    names = [f'n{number}' for number in range(1, _LARGE_FLEET)]
     links.take_peers(dict.fromkeys(names, _CLOSED))
     now = asyncio.get_running_loop().time()
     peers = cast(dict[str, Peer], links.peers)
--- a/tests/platform/test_shared.py
+++ b/tests/platform/test_shared.py
@@ -1,4 +1,4 @@
-"""The queue at its owner, and the way out when the owner is lost."""
+"""Queues at service owners, and the fallback when an owner is lost."""
 
 import asyncio
 import json
@@ -23,10 +23,11 @@
 )
 
 
-async def test_places_are_counted_over_all_instances(
+async def test_slots_are_counted_over_all_instances(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The instances share a loop, whose lateness is not their owner's.
+    # The instances share one event loop, whose delays must not count as an
+    # unresponsive owner.
     monkeypatch.setattr(shared, '_ANSWER_S', 5)
     async with deployment(3) as made:
         engine = await made.add_engine('model-0', event_s=0.02)
@@ -55,19 +56,20 @@
         await until(lambda: survivor.owner(MODEL) != names[owner])
 
 
-async def test_an_owner_that_is_lost_is_followed_by_one_other(
+async def test_a_lost_owner_is_replaced_by_one_instance(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """No instance decides alone while a next candidate answers.
-
-    Engines rejected what came above their places after an owner was lost or
-    answered late. Each instance that waited 60 ms for it decided alone and
-    filled all places of an engine, of which it knew only its own requests;
-    later requests asked the next candidate, which did not know of them.
-    Proof: 18 requests at once at five instances while the sixth, the owner,
-    is gone: 18 ran at once on an engine with 4 places.
+    """No instance decides alone while another candidate responds.
+
+    After an owner was lost or slow, engines rejected requests above their
+    slots. Each instance that had waited 60 ms for the owner decided alone and
+    filled all slots of an engine, counting only its own requests. Later
+    requests asked the next candidate, which did not know of these. With the
+    owner lost, 18 requests at the other five instances ran at once on an engine
+    with 4 slots.
     """
-    # Asking the next one takes 3 ms; a busy machine must not decide here.
+    # Asking the next candidate takes 3 ms. A longer timeout keeps a busy
+    # machine from causing local decisions.
     monkeypatch.setattr(shared, '_ANSWER_S', 0.25)
     async with deployment(6) as made:
         engine = await made.add_engine('model-0', event_s=0.02)
@@ -84,14 +86,14 @@
         assert engine.most_running <= 4
 
 
-async def test_use_of_quotas_is_known_everywhere() -> None:
+async def test_quota_usage_is_shared() -> None:
     async with deployment(2) as made:
         await made.add_engine('model-0')
         await made.ready()
         changed = desired(2)
         changed['tenants'][0] |= {'rate-per-s': 50, 'burst': 260}
         await made.change(changed)
-        # 660 tokens in 8 s, less what two restarts may have used.
+        # 660 tokens in 8 s, less what two restarted instances may have used.
         statuses = []
         for number in range(6):
             caller = made.caller(number % 2)
@@ -102,24 +104,24 @@
         assert statuses.count(200) <= 5
 
 
-async def test_jobs_of_a_lost_instance_leave_nothing_behind() -> None:
+async def test_jobs_of_a_lost_instance_are_removed() -> None:
     dispatcher = Dispatcher(random.Random(1))
     dispatcher.take_state(decode_state(json.dumps(desired(1)).encode()))
     upstream = Upstream('u', MODEL, '127.0.0.1', 1, 'a', 1, leaving=False)
     dispatcher.take_upstreams((upstream,))
-    heard = _Heard()
+    recorder = _GrantRecorder()
     for key in ('lost/1', 'lost/2', 'live/1'):
         job = Job(key, MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
-        dispatcher.ask(job, heard)
-    assert heard.granted_keys == ['lost/1']
+        dispatcher.ask(job, recorder)
+    assert recorder.granted_keys == ['lost/1']
     assert dispatcher.waiting == 2
     dispatcher.drop_jobs('lost/')
-    assert heard.granted_keys == ['lost/1', 'live/1']
+    assert recorder.granted_keys == ['lost/1', 'live/1']
     assert not dispatcher.is_waiting('lost/2')
     assert not dispatcher.waiting
 
 
-class _Heard:
+class _GrantRecorder:
     def __init__(self) -> None:
         self.granted_keys: list[str] = []
 
--- a/tests/platform/test_talk.py
+++ b/tests/platform/test_talk.py
@@ -1,25 +1,23 @@
-"""What a restarted instance makes of the first reports it hears.
-
-Users stopped all instances in turn while a workspace asked for many times its
-quota, and what ran afterwards was above it. A restarted instance takes the
-use of all from another one that did not restart. It took it from the first
-that answered; that was an instance that was about to stop and heard nobody,
-so it told its own use only. With that the restarted one dropped what the store
-had told it, and passed over the first reports of the others, as if the sum it
-had taken held them.
-
-Evidence: in the logs of the play restarted instances hear 1 to 3 of seven from
-18.9 s on, and two of them admit 0.38 million tokens within a second while
-stopping ones still admit. That one adopted a partial sum no log line told
-then; the two tests below show that it would.
-
-Cause: a partial sum was taken for the complete one.
-
-A later play with adoptions from complete senders only: the last of seven to
-come back admitted 0.22 million tokens in 1.7 s after all others had
-stopped to, and all together 1.96 of 1.87 million. It had taken the use of all
-at a report in which what the sender had told before was left out, and what
-others admitted in the 0.3 s before their first reports was passed over.
+"""Adoption of the fleet's quota usage by a restarted instance.
+
+A restarted instance adopts the usage of the fleet from a peer that did not
+restart. Two faults let a workspace that requested many times its quota exceed
+it during a rolling restart:
+
+The usage was adopted from the first peer that responded, even if that peer was
+stopping and heard from no other instance, and so knew only its own usage. The
+adopted sum replaced the usage recalled from the store, and the first reports of
+other peers were ignored as if the sum included them. In a simulation with seven
+instances, restarted ones heard from 1 to 3 peers, and two of them admitted 0.38
+million tokens within a second while stopping ones still admitted. The logs did
+not show an adoption of a partial sum at that time; the first two tests showed
+that it would happen.
+
+Usage was adopted from a report that left out what the sender had reported
+before, and what peers admitted in the 0.3 s before their first reports was
+ignored. The last of seven restarted instances admitted 0.22 million tokens in
+1.7 s after the others had stopped admitting; the total was 1.96 million of a
+quota of 1.87 million.
 """
 
 import asyncio
@@ -41,8 +39,8 @@
 
 _LIMIT = 850
 _NAMES = ('a', 'b', 'c')
-# All have reported twice within this time.
-_HEARD_S = 0.35
+# All instances report twice within this time.
+_TWO_REPORTS_S = 0.35
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,8 +55,8 @@
         """Return another instance as this one sees it."""
         return self.peers.setdefault(name, Peer(name, name))
 
-    def tell(self, other: '_Node') -> None:
-        """Report to another instance."""
+    def report_to(self, other: '_Node') -> None:
+        """Send a report to another instance."""
         batch = peers_pb2.Batch(
             sender=self.name,
             incarnation=self.name,
@@ -89,11 +87,11 @@
 
 
 def _ignore(*_: object) -> None:
-    """Take anything."""
+    """Ignore all arguments."""
 
 
 async def test_adopted_use_is_counted_once() -> None:
-    """Two old instances used 200 each; a new one knows of 400, not 600."""
+    """Two old instances used 200 each; a new one counts 400, not 600."""
     now = asyncio.get_running_loop().time()
     old = [_node('a', now - 100), _node('b', now - 100)]
     for node in old:
@@ -102,123 +100,123 @@
     for sender in old:
         for other in old:
             if sender is not other:
-                sender.tell(other)
-    young = _node('c', now)
+                sender.report_to(other)
+    restarted = _node('c', now)
     for sender in (*old, *old):
-        sender.tell(young)
-    await asyncio.sleep(_HEARD_S)
+        sender.report_to(restarted)
+    await asyncio.sleep(_TWO_REPORTS_S)
     for again in (*old, *old):
-        again.tell(young)
-    assert not young.gate.quotas.take('w', _LIMIT - 401, now + 0.5)
-    assert young.gate.quotas.take('w', 10, now + 0.5) > 0
+        again.report_to(restarted)
+    assert not restarted.gate.quotas.take('w', _LIMIT - 401, now + 0.5)
+    assert restarted.gate.quotas.take('w', 10, now + 0.5) > 0
 
 
-async def test_use_is_adopted_only_from_one_that_hears_all() -> None:
-    """The first that answers knows of 100, the second of all 500."""
+async def test_usage_is_adopted_only_from_a_peer_that_knows_all() -> None:
+    """The first responding peer knows of 100, the second one of all 500."""
     now = asyncio.get_running_loop().time()
-    lone, sound = _node('a', now - 100), _node('b', now - 100)
-    assert not lone.gate.quotas.take('w', 100, now)
-    assert not sound.gate.quotas.take('w', 400, now)
-    lone.tell(sound)
-    sound.links.hears = len(_NAMES)
-    young = _node('c', now)
-    young.gate.quotas.recall({'w': ((0, 800),)}, now)
-    lone.tell(young)
-    # What was recalled holds until somebody knows better.
-    assert young.gate.quotas.take('w', 60, now + 0.1) > 0
-    sound.tell(young)
-    await asyncio.sleep(_HEARD_S)
-    sound.tell(young)
-    assert not young.gate.quotas.take('w', _LIMIT - 501, now + 0.5)
-    assert young.gate.quotas.take('w', 10, now + 0.5) > 0
-
-
-async def test_an_adoption_leaves_out_only_what_was_not_returned() -> None:
-    """The young one was counted 200 and returned them; the old one ran 400.
-
-    The sum of all, 400, does not hold the 200 any more.
+    partial, complete = _node('a', now - 100), _node('b', now - 100)
+    assert not partial.gate.quotas.take('w', 100, now)
+    assert not complete.gate.quotas.take('w', 400, now)
+    partial.report_to(complete)
+    complete.links.hears = len(_NAMES)
+    restarted = _node('c', now)
+    restarted.gate.quotas.recall({'w': ((0, 800),)}, now)
+    partial.report_to(restarted)
+    # The recalled usage applies until a peer knows the complete usage.
+    assert restarted.gate.quotas.take('w', 60, now + 0.1) > 0
+    complete.report_to(restarted)
+    await asyncio.sleep(_TWO_REPORTS_S)
+    complete.report_to(restarted)
+    assert not restarted.gate.quotas.take('w', _LIMIT - 501, now + 0.5)
+    assert restarted.gate.quotas.take('w', 10, now + 0.5) > 0
+
+
+async def test_adoption_subtracts_own_usage_less_returns() -> None:
+    """The new instance used 200 and returned them; the old one used 400.
+
+    The sum of 400 no longer includes the 200.
     """
     now = asyncio.get_running_loop().time()
     old, third = _node('a', now - 100), _node('b', now - 100)
     assert not old.gate.quotas.take('w', 400, now)
     old.links.hears = len(_NAMES)
-    young = _node('c', now)
-    assert not young.gate.quotas.take('w', 200, now)
-    young.tell(old)
-    young.gate.quotas.give_back('w', 200, now, now)
-    young.tell(old)
+    restarted = _node('c', now)
+    assert not restarted.gate.quotas.take('w', 200, now)
+    restarted.report_to(old)
+    restarted.gate.quotas.give_back('w', 200, now, now)
+    restarted.report_to(old)
     for sender in (third, old):
-        sender.tell(young)
-    await asyncio.sleep(_HEARD_S)
+        sender.report_to(restarted)
+    await asyncio.sleep(_TWO_REPORTS_S)
     for again in (third, old):
-        again.tell(young)
-    assert young.gate.quotas.knows_past(now + 0.5)
-    assert young.gate.quotas.take('w', _LIMIT - 300, now + 0.5) > 0
+        again.report_to(restarted)
+    assert restarted.gate.quotas.knows_past(now + 0.5)
+    assert restarted.gate.quotas.take('w', _LIMIT - 300, now + 0.5) > 0
 
 
-async def test_what_an_instance_admits_after_an_adoption_counts() -> None:
-    """It was heard before, so its first report holds nothing known."""
+async def test_usage_after_an_adoption_is_counted() -> None:
+    """A peer reported before the adoption, so its later usage is new."""
     now = asyncio.get_running_loop().time()
     old = [_node('a', now - 100), _node('b', now - 100)]
-    young = _node('c', now)
+    restarted = _node('c', now)
     for node in old:
         node.links.hears = len(_NAMES)
-    old[0].tell(young)
-    old[1].tell(young)
-    await asyncio.sleep(_HEARD_S)
-    old[0].tell(young)
+    old[0].report_to(restarted)
+    old[1].report_to(restarted)
+    await asyncio.sleep(_TWO_REPORTS_S)
+    old[0].report_to(restarted)
     assert not old[1].gate.quotas.take('w', 300, now)
-    old[1].tell(young)
-    assert young.gate.quotas.take('w', _LIMIT - 299, now + 0.5) > 0
+    old[1].report_to(restarted)
+    assert restarted.gate.quotas.take('w', _LIMIT - 299, now + 0.5) > 0
 
 
-async def test_use_is_adopted_whole_at_a_later_report() -> None:
-    """What was told before, to one that knows nothing, is told again."""
+async def test_a_later_report_contains_all_usage() -> None:
+    """An instance that does not know the usage is sent all of it again."""
     now = asyncio.get_running_loop().time()
     old = [_node('a', now - 100), _node('b', now - 100)]
     for node in old:
         assert not node.gate.quotas.take('w', 200, now)
-    old[1].tell(old[0])
-    young = _node('c', now)
+    old[1].report_to(old[0])
+    restarted = _node('c', now)
     for first in old:
-        first.tell(young)
-    await asyncio.sleep(_HEARD_S)
+        first.report_to(restarted)
+    await asyncio.sleep(_TWO_REPORTS_S)
     old[0].links.hears = len(_NAMES)
-    old[0].tell(young)
-    assert not young.gate.quotas.take('w', _LIMIT - 401, now + 0.5)
-    assert young.gate.quotas.take('w', 10, now + 0.5) > 0
+    old[0].report_to(restarted)
+    assert not restarted.gate.quotas.take('w', _LIMIT - 401, now + 0.5)
+    assert restarted.gate.quotas.take('w', 10, now + 0.5) > 0
 
 
-async def test_what_the_sender_of_an_adoption_has_not_heard_counts() -> None:
-    """Another instance tells 100 more here before it tells the sender."""
+async def test_usage_unknown_to_the_adopted_sender_is_counted() -> None:
+    """Another instance reports 100 more here before it tells the sender."""
     now = asyncio.get_running_loop().time()
     sender, other = _node('a', now - 100), _node('b', now - 100)
-    young = _node('c', now)
+    restarted = _node('c', now)
     assert not other.gate.quotas.take('w', 100, now)
-    for hearer in (sender, young):
-        other.tell(hearer)
-    sender.tell(young)
-    await asyncio.sleep(_HEARD_S)
+    for receiver in (sender, restarted):
+        other.report_to(receiver)
+    sender.report_to(restarted)
+    await asyncio.sleep(_TWO_REPORTS_S)
     assert not other.gate.quotas.take('w', 100, now + 0.4)
-    other.tell(young)
+    other.report_to(restarted)
     sender.links.hears = len(_NAMES)
-    sender.tell(young)
-    assert young.gate.quotas.knows_past(now + 0.5)
-    assert young.gate.quotas.take('w', _LIMIT - 199, now + 0.5) > 0
+    sender.report_to(restarted)
+    assert restarted.gate.quotas.knows_past(now + 0.5)
+    assert restarted.gate.quotas.take('w', _LIMIT - 199, now + 0.5) > 0
 
 
-async def test_what_a_newcomer_admits_counts_after_an_adoption() -> None:
-    """It began after the sum that was adopted, so that does not hold it."""
+async def test_usage_of_a_new_instance_is_counted_after_an_adoption() -> None:
+    """It started after the adoption, so the sum does not include its usage."""
     now = asyncio.get_running_loop().time()
     old = [_node('a', now - 100), _node('b', now - 100)]
-    young = _node('c', now)
+    restarted = _node('c', now)
     for node in old:
         node.links.hears = len(_NAMES)
-        node.tell(young)
-    await asyncio.sleep(_HEARD_S)
-    old[0].tell(young)
+        node.report_to(restarted)
+    await asyncio.sleep(_TWO_REPORTS_S)
+    old[0].report_to(restarted)
     newcomer = _node('d', now)
     assert not newcomer.gate.quotas.take('w', 300, now + 0.5)
-    newcomer.tell(young)
-    assert young.gate.quotas.knows_past(now + 0.5)
-    assert young.gate.quotas.take('w', _LIMIT - 299, now + 0.6) > 0
+    newcomer.report_to(restarted)
+    assert restarted.gate.quotas.knows_past(now + 0.5)
+    assert restarted.gate.quotas.take('w', _LIMIT - 299, now + 0.6) > 0
--- a/tests/platform/test_told.py
+++ b/tests/platform/test_told.py
@@ -1,10 +1,10 @@
-"""Instances that are told what the store holds instead of watching it.
+"""Instances that learn the contents of the store from relays.
 
-In a play of 195 instances each of them watched the store, something changed
-all the time, and every change was answered to all: 1.5 calls a second of each,
-the dearest loss of the day. So a few watch and tell the others. Whoever is
-told must not believe longer than the bounds allow what the store has
-withdrawn, whatever becomes of those that tell.
+When each of 195 instances watched the store in a simulation, frequent changes
+were sent to all of them. This took 1.5 store calls per second and instance, the
+most expensive problem of that run. Now only a few relays watch the store and
+inform the others. Whatever happens to the relays, a subscriber must not use
+data that the store has removed for longer than the configured bounds.
 """
 
 import asyncio
@@ -30,67 +30,67 @@
 _KEYS = ('servers/a', 'servers/b', 'servers/c')
 _SUBSCRIBER = 2
 _RELAYS = (0, 1)
-_MANY = 18
+_LARGE_FLEET = 18
 _CHANGE_S = 4.0
 
 
-class _Upstreams:
-    """Keeps the upstreams that a view tells."""
+class _UpstreamRecorder:
+    """Records the upstreams that a view reports."""
 
     def __init__(self) -> None:
         self.slots: dict[str, int] = {}
 
     def on_state(self, state: DesiredState) -> None:
-        """Take nothing."""
+        """Ignore the state."""
 
     def on_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
         self.slots = {f'servers/{one.name}': one.slots for one in upstreams}
 
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
-        """Take nothing."""
+        """Ignore the instances."""
 
     def on_use(self, use: Written) -> None:
-        """Take nothing."""
+        """Ignore the quota usage."""
 
     def on_confirmed(self, asked_at: float) -> None:
-        """Take nothing: the view itself knows."""
+        """Ignore the confirmation, as the view itself records it."""
 
     def on_store(self, *, reachable: bool) -> None:
-        """Take nothing."""
+        """Ignore whether the store is reachable."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Written:
+class _Write:
     at: float
     change: Change
 
 
 @dataclasses.dataclass(slots=True)
-class _Answer:
-    """Of a relay to the subscriber, on its way."""
+class _Response:
+    """A response in transit from a relay to the subscriber."""
 
     asked_at: float
     age_s: float
     news: News | None
 
 
-class _World:
-    """A store, two instances that watch it and one that asks them."""
+class _Simulation:
+    """A simulated store, two relays that watch it and one subscriber."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.now: float = 1000
-        self.written: list[_Written] = []
+        self.written: list[_Write] = []
         self.revision = 1
         loop.time = lambda: self.now  # type: ignore[method-assign]
-        self.heard = [_Upstreams() for _ in range(3)]
+        self.recorders = [_UpstreamRecorder() for _ in range(3)]
         self.views = [self._view(number) for number in range(3)]
-        # Questions that have not been read, and answers on their way.
+        # Requests that have not been read, and responses in transit.
         self.asked: dict[int, list[tuple[float, int]]] = {0: [], 1: []}
-        self.answers: dict[int, list[_Answer]] = {0: [], 1: []}
+        self.answers: dict[int, list[_Response]] = {0: [], 1: []}
 
     def write(self, key: str, *, remove: bool) -> None:
-        """Change a key in the store."""
-        if remove and key not in self._held():
+        """Write or remove a key in the store."""
+        if remove and key not in self._current_items():
             return
         self.revision += 1
         fields = {
@@ -105,10 +105,10 @@
         }
         content = None if remove else json.dumps(fields).encode()
         change = Change(key, content, self.revision)
-        self.written.append(_Written(self.now, change))
+        self.written.append(_Write(self.now, change))
 
     def look(self, number: int) -> None:
-        """Have an instance ask the store for what changed."""
+        """Let an instance read the changes from the store."""
         view = self.views[number]
         cursor = view.cursor
         assert cursor is not None
@@ -118,8 +118,8 @@
         view.take_changes(Changes(changes, self.revision), self.now)
 
     def restart(self, number: int) -> None:
-        """Lose all that an instance knew, and the streams to it."""
-        self.heard[number] = _Upstreams()
+        """Reset an instance's view and drop the messages to and from it."""
+        self.recorders[number] = _UpstreamRecorder()
         self.views[number] = self._view(number)
         for relay in _RELAYS:
             if number in {relay, _SUBSCRIBER}:
@@ -127,40 +127,40 @@
                 self.answers[relay].clear()
 
     def ask(self, relay: int) -> None:
-        """Send a question of the subscriber."""
+        """Send a request from the subscriber to a relay."""
         cursor = self.views[_SUBSCRIBER].cursor
         assert cursor is not None
         self.asked[relay].append((self.now, cursor))
 
     def answer(self, relay: int) -> None:
-        """Have a relay read a question and answer it."""
+        """Let a relay read a request and respond."""
         if not self.asked[relay]:
             return
         asked_at, after = self.asked[relay].pop(0)
         view = self.views[relay]
         age_s = self.now - view.followed_at
-        self.answers[relay].append(_Answer(asked_at, age_s, view.news(after)))
+        self.answers[relay].append(_Response(asked_at, age_s, view.news(after)))
 
     def arrive(self, relay: int) -> None:
-        """Have the subscriber read an answer."""
+        """Let the subscriber read a response."""
         if not self.answers[relay]:
             return
         answer = self.answers[relay].pop(0)
         if answer.news is not None:
-            whole_at = answer.asked_at - answer.age_s
-            self.views[_SUBSCRIBER].take_news(answer.news, whole_at)
+            current_at = answer.asked_at - answer.age_s
+            self.views[_SUBSCRIBER].take_news(answer.news, current_at)
 
     def check(self) -> None:
-        """Nothing that the store held when followed is missing."""
-        for view, heard in zip(self.views, self.heard, strict=True):
+        """Check that no view lacks what the store held when it was current."""
+        for view, recorder in zip(self.views, self.recorders, strict=True):
             for key in _KEYS:
-                assert heard.slots.get(key) in self._held_since(
+                assert recorder.slots.get(key) in self._values_since(
                     key,
                     view.followed_at,
                 )
 
-    def _held_since(self, key: str, moment: float) -> set[int | None]:
-        """Return all that a key has held from a moment on."""
+    def _values_since(self, key: str, moment: float) -> set[int | None]:
+        """Return all values that a key has had since a given time."""
         held: set[int | None] = {None}
         for one in self.written:
             if one.change.key != key:
@@ -171,7 +171,7 @@
             held.add(None if gone else one.change.revision)
         return held
 
-    def _held(self) -> dict[str, Change]:
+    def _current_items(self) -> dict[str, Change]:
         newest = {one.change.key: one.change for one in self.written}
         return {
             key: change
@@ -181,21 +181,21 @@
 
     def _view(self, number: int) -> StoreView:
         view = StoreView(
-            self.heard[number],
+            self.recorders[number],
             _no_log,
             Absence(1.2, 5),
             _CHANGE_S,
         )
         entries = tuple(
             Item(key, change.content or b'', change.revision)
-            for key, change in self._held().items()
+            for key, change in self._current_items().items()
         )
         view.take_all(Snapshot(entries, self.revision), self.now)
         return view
 
 
 def _no_log(*args: Any, **fields: Any) -> None:
-    """Drop the line."""
+    """Discard the log event."""
 
 
 _STEPS = st.lists(
@@ -215,29 +215,29 @@
 
 @settings(max_examples=100, deadline=None)
 @given(_STEPS)
-def test_nothing_is_missing_that_counts_as_known(
+def test_current_views_are_complete(
     steps: list[tuple[str, Any]],
 ) -> None:
-    """Whatever the order of news, restarts and gaps.
+    """Views stay complete for any order of changes, restarts and gaps.
 
-    It fails where news are taken wherever they begin, and where their age
-    counts from their arrival in place of the question.
+    Fails if changes are applied despite a gap before them, or if their age is
+    counted from their arrival instead of from the request.
     """
-    asyncio.run(_play(steps))
+    asyncio.run(_run_steps(steps))
 
 
-async def _play(steps: list[tuple[str, Any]]) -> None:
-    world = _World(asyncio.get_running_loop())
+async def _run_steps(steps: list[tuple[str, Any]]) -> None:
+    simulation = _Simulation(asyncio.get_running_loop())
     for kind, chosen in steps:
-        world.now += 0.25
+        simulation.now += 0.25
         if kind in {'write', 'remove'}:
-            world.write(chosen, remove=kind == 'remove')
+            simulation.write(chosen, remove=kind == 'remove')
         else:
-            getattr(world, kind)(chosen)
-        world.check()
+            getattr(simulation, kind)(chosen)
+        simulation.check()
 
 
-def test_who_asks_for_more_than_is_kept_is_told_so(
+def test_news_starts_at_the_oldest_kept_revision(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr('tallyhall_platform.history._MOST_KEPT', 2)
@@ -253,36 +253,39 @@
     assert [change.revision for change in later.changes] == [12, 13]
 
 
-def test_one_that_has_read_nothing_tells_nothing() -> None:
+def test_an_empty_history_has_no_news() -> None:
     assert History().news(5, 0) is None
 
 
-async def test_a_removal_that_is_held_is_not_told() -> None:
-    """It may be taken back; whoever asks is told nothing later either."""
-    world = _World(asyncio.get_running_loop())
-    world.write(_KEYS[0], remove=False)
-    world.look(0)
-    before = world.revision
-    absence = world.views[0]._absence  # noqa: SLF001
-    absence.alive(world.now)
+async def test_held_removals_are_not_forwarded() -> None:
+    """It may be undone, so later changes are withheld from peers, too.
+
+    A change of another key is still sent.
+    """
+    simulation = _Simulation(asyncio.get_running_loop())
+    simulation.write(_KEYS[0], remove=False)
+    simulation.look(0)
+    before = simulation.revision
+    absence = simulation.views[0]._absence  # noqa: SLF001
+    absence.alive(simulation.now)
     for _ in range(2):
-        absence.failed(world.now)
-    world.now += 4
-    absence.answered(world.now)
-    world.write(_KEYS[0], remove=True)
-    world.write(_KEYS[1], remove=False)
-    world.look(0)
-    told = world.views[0].news(before)
+        absence.failed(simulation.now)
+    simulation.now += 4
+    absence.answered(simulation.now)
+    simulation.write(_KEYS[0], remove=True)
+    simulation.write(_KEYS[1], remove=False)
+    simulation.look(0)
+    told = simulation.views[0].news(before)
     assert told is not None
     assert told.revision == before
     assert [change.key for change in told.changes] == [_KEYS[1]]
 
 
-# -- with real streams
+# -- with real peer streams
 
 
 def _relays(made: Deployment) -> Iterator[int]:
-    """Yield the numbers of the instances that watch the store."""
+    """Yield the indexes of the instances that watch the store."""
     hubs = made.instances[0].live_instances
     for number, options in enumerate(made.options):
         if options.instance in hubs:
@@ -293,13 +296,13 @@
     await made.add_engine('plain-0', PLAIN)
     await made.add_engine('plain-1', PLAIN)
     await made.ready()
-    # Each has been told once.
+    # By now each instance has received changes from a relay once.
     await asyncio.sleep(1.5)
 
 
-async def test_changes_reach_those_that_do_not_watch() -> None:
-    """Six changes are one call of each relay, whoever is told of them."""
-    async with deployment(_MANY, change_s=_CHANGE_S) as made:
+async def test_changes_reach_subscribers() -> None:
+    """Only the relays call the store, however many instances are informed."""
+    async with deployment(_LARGE_FLEET, change_s=_CHANGE_S) as made:
         await _ready(made)
         watches = made.store.watches
         for version in range(2, 8):
@@ -308,14 +311,16 @@
         made.store.remove('servers/plain-1')
         for instance in made.instances:
             await until(lambda: instance.usable_upstreams == 1, 2)
-        # Four relays, a watch in 0.35 s at the most, and nobody else.
+        # Four relays with at most one watch call per 0.35 s, and no others.
         assert made.store.watches - watches < 4 * 8 * 3
 
 
 @pytest.mark.parametrize('lost', [1, 4])
-async def test_a_relay_that_lost_the_store_misleads_nobody(lost: int) -> None:
-    """One tells what it knows, and its age; all others know better in time."""
-    async with deployment(_MANY, change_s=_CHANGE_S) as made:
+async def test_removals_are_applied_though_relays_lost_the_store(
+    lost: int,
+) -> None:
+    """The age of a relay's data shows it is old; all learn of the removal."""
+    async with deployment(_LARGE_FLEET, change_s=_CHANGE_S) as made:
         await _ready(made)
         cut = list(_relays(made))[:lost]
         for number in cut:
@@ -325,9 +330,9 @@
             await until(lambda: instance.usable_upstreams == 1, _CHANGE_S)
 
 
-async def test_the_loss_of_all_relays_is_borne() -> None:
-    """The others look for themselves; nobody waits for the next relays."""
-    async with deployment(_MANY, change_s=_CHANGE_S) as made:
+async def test_the_loss_of_all_relays_is_tolerated() -> None:
+    """The others read the store themselves until there are new relays."""
+    async with deployment(_LARGE_FLEET, change_s=_CHANGE_S) as made:
         await _ready(made)
         relays = set(_relays(made))
         assert len(relays) == 4
@@ -340,12 +345,14 @@
                 await until(lambda: instance.usable_upstreams == 1, _CHANGE_S)
 
 
-async def test_half_of_a_fleet_without_the_store_is_told() -> None:
-    async with deployment(_MANY, change_s=_CHANGE_S) as made:
+async def test_instances_without_the_store_are_updated_by_relays() -> None:
+    async with deployment(_LARGE_FLEET, change_s=_CHANGE_S) as made:
         await _ready(made)
         relays = set(_relays(made))
-        told = [number for number in range(_MANY) if number not in relays]
-        cut = random.Random(1).sample(told, _MANY // 2)
+        told = [
+            number for number in range(_LARGE_FLEET) if number not in relays
+        ]
+        cut = random.Random(1).sample(told, _LARGE_FLEET // 2)
         for number in cut:
             made.instances[number].lose_store()
         await made.change(desired(2))
@@ -355,9 +362,9 @@
             await until(lambda: instance.usable_upstreams == 1, 2)
 
 
-async def test_a_revoked_key_stops_though_all_relays_lost_the_store() -> None:
-    """What they confirm grows old on its way, so none goes on with it."""
-    async with deployment(_MANY, change_s=_CHANGE_S, revoke_s=5) as made:
+async def test_revoked_keys_are_rejected_though_relays_lost_the_store() -> None:
+    """Confirmations age as they are forwarded, so no instance uses them on."""
+    async with deployment(_LARGE_FLEET, change_s=_CHANGE_S, revoke_s=5) as made:
         await _ready(made)
         for number in _relays(made):
             made.instances[number].lose_store()
@@ -365,6 +372,6 @@
         state['tenants'][0]['api-keys'] = ['key-2']
         made.store.put('op/config', state)
         await asyncio.sleep(5 - 0.2)
-        for number in range(_MANY):
+        for number in range(_LARGE_FLEET):
             answer = await made.caller(number).ask('/safe/x', f'r{number}')
             assert answer.status in {401, 503}
