--- a/packages/membership/src/tallyhall_membership/__init__.py
+++ b/packages/membership/src/tallyhall_membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is alive, which shared values are newest, and who owns what."""
+"""Failure detection, shared value revisions and service ownership."""
--- a/packages/membership/src/tallyhall_membership/assignment.py
+++ b/packages/membership/src/tallyhall_membership/assignment.py
@@ -1,9 +1,9 @@
-"""The assignment: which incarnation owns each service, and who is fenced.
+"""The assignment: the owner of each service and the fenced incarnations.
 
-One small value in the KV, changed only by compare-and-swap. The epoch grows
-by one with every change. Edits are plain data applied to the newest value
-just read, so that a lost race is settled by applying them again; an edit that
-no longer makes sense returns the assignment unchanged.
+It is one small value in the key-value store, updated only by compare-and-swap.
+Every change increments the epoch. Edits are plain data that are applied to
+the latest value read, so a lost race is resolved by applying them again. An
+edit whose precondition no longer holds leaves the assignment unchanged.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 import pydantic
 from pydantic.dataclasses import dataclass
 
-# At 79 changes of instance a day, all of them fenced, this is three weeks;
-# the value then stays below 200 kB.
+# Three weeks of fences at 79 instance replacements a day; keeps the stored
+# value below 200 kB.
 MAX_FENCES = 1800
 
 
 class BadAssignmentError(ValueError):
-    """A text that is no assignment."""
+    """The text is not a valid assignment."""
 
 
 @dataclass(frozen=True)
 class Tenure:
-    """The owner of one service, and the epoch that made it the owner."""
+    """The owner of a service and the epoch since which it owns it."""
 
     owner: str
     since: int
@@ -40,7 +40,10 @@
     change_id: str = ''
 
     def holder_of(self, home: str) -> str:
-        """Return the incarnation that now stands for this home."""
+        """Return the current successor of `home`, or `home` if not fenced.
+
+        Returns an empty string if the successors form a cycle.
+        """
         seen = {home}
         while home in self.fenced:
             home = self.fenced[home]
@@ -52,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FenceEdit:
-    """Make `successor` the successor of `home`, unless it has one."""
+    """Fence `home` in favour of `successor`, unless already fenced."""
 
     home: str
     successor: str
@@ -60,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnerEdit:
-    """Give a service to `owner`, if it still is `instead_of`'s."""
+    """Assign a service to `owner` if `instead_of` still owns it."""
 
     service: str
     instead_of: str
@@ -73,12 +76,12 @@
 
 
 def encode(assignment: Assignment) -> str:
-    """Return the JSON text kept in the KV."""
+    """Return the JSON text stored in the key-value store."""
     return _ADAPTER.dump_json(assignment).decode()
 
 
 def decode(text: str) -> Assignment:
-    """Read the JSON text; raise BadAssignmentError where it does not fit."""
+    """Parse the JSON text; raise BadAssignmentError if it is invalid."""
     try:
         return _ADAPTER.validate_json(text)
     except pydantic.ValidationError as exc:
@@ -90,7 +93,7 @@
     edits: tuple[Edit, ...],
     change_id: str,
 ) -> Assignment:
-    """Return the next assignment, or `old` itself where no edit applies."""
+    """Return the next assignment, or `old` itself if no edit applies."""
     epoch = old.epoch + 1
     owners = dict(old.owners)
     fenced = dict(old.fenced)
--- a/packages/membership/src/tallyhall_membership/members.py
+++ b/packages/membership/src/tallyhall_membership/members.py
@@ -1,9 +1,10 @@
-"""Members: a heartbeat counter for each instance, spread by gossip.
+"""Gossip-based failure detection with a heartbeat counter per instance.
 
-Each instance raises its own counter once a period and sends a digest to a few
-peers. An instance whose counter stands still for `dead_after` seconds counts
-as dead. Being wrong about that costs efficiency, never correctness: whatever
-must not happen twice is settled by compare-and-swap on the assignment.
+Each instance increments its own counter once per period and sends a digest to
+a few peers. An instance whose counter does not change for `dead_after` seconds
+is considered dead. A wrong verdict costs efficiency, never correctness:
+operations that must not happen twice rely on compare-and-swap on the
+assignment.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 
 from . import rendezvous
 
-# A digest carries at most this many entries, the least recently sent first,
-# so that its size stays flat as the fleet grows.
+# Maximum number of entries in a digest, which keeps its size constant as the
+# fleet grows. Entries sent least recently come first.
 DIGEST_ENTRIES = 48
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """Periods in seconds; fanout is the number of peers for each digest."""
+    """Timeouts in seconds; fanout is the number of peers per digest."""
 
     dead_after: float = 2.5
     forget_after: float = 60.0
@@ -32,28 +33,28 @@
 @dataclasses.dataclass(slots=True)
 class _Record:
     entry: MemberEntry
-    changed: float
-    sent: int = 0
+    changed_at: float
+    last_sent_round: int = 0
     suspected: bool = False
 
 
 class Members:
-    """What this instance knows of itself and the others."""
+    """The membership view of one instance, its own entry included."""
 
     def __init__(self, own: MemberEntry, cfg: MemberSettings) -> None:
-        """Start knowing only this instance's own entry."""
+        """Create a view that contains only the own entry."""
         self.own = own
         self._cfg = cfg
         self._records: dict[str, _Record] = {}
-        self._round = 0
+        self._gossip_round = 0
 
     @property
     def home(self) -> Home:
-        """Return this instance's name and incarnation."""
+        """Return the name and incarnation of this instance."""
         return Home(self.own.instance, self.own.incarnation)
 
     def beat(self, **changes: object) -> None:
-        """Raise the own counter and set changed fields."""
+        """Increment the own heartbeat counter and update the given fields."""
         counter = self.own.counter + 1
         self.own = dataclasses.replace(
             self.own,
@@ -62,7 +63,7 @@
         )
 
     def merge(self, entries: tuple[MemberEntry, ...], now: float) -> None:
-        """Take every entry that is newer than the one held."""
+        """Replace each stored entry for which a newer one was received."""
         for entry in entries:
             if entry.instance == self.own.instance:
                 continue
@@ -70,33 +71,33 @@
             if record is None:
                 self._records[entry.instance] = _Record(entry, now)
                 continue
-            silent = now - record.changed > self._cfg.dead_after
-            if not _newer(entry, record.entry, silent=silent):
+            silent = now - record.changed_at > self._cfg.dead_after
+            if not _supersedes(entry, record.entry, silent=silent):
                 continue
             record.entry = entry
-            record.changed = now
+            record.changed_at = now
             record.suspected = False
 
     def suspect(self, instance: str) -> None:
-        """Count an instance as dead until its counter rises again."""
+        """Treat an instance as dead until its counter increases."""
         record = self._records.get(instance)
         if record is not None:
             record.suspected = True
 
     def is_silent(self, instance: str, now: float) -> bool:
-        """Return whether an instance says nothing though it may be alive.
+        """Return whether an instance missed its heartbeats but may be alive.
 
-        One that refuses connections, has left or has a newer incarnation is
-        not silent but gone.
+        Returns False for an instance that refuses connections, has left or
+        was replaced by a newer incarnation: it is known to be gone.
         """
         record = self._records.get(instance)
         if record is None or record.suspected:
             return False
-        late = now - record.changed > self._cfg.dead_after
+        late = now - record.changed_at > self._cfg.dead_after
         return late and record.entry.state != 'gone'
 
     def silent(self, now: float) -> set[str]:
-        """Return the incarnations that say nothing but may be alive."""
+        """Return the incarnations that are silent but may be alive."""
         return {
             f'{instance}.{record.entry.incarnation}'
             for instance, record in self._records.items()
@@ -104,65 +105,66 @@
         }
 
     def suspect_address(self, rpc: str) -> None:
-        """Count whoever is at this rpc address as dead, likewise."""
+        """Like `suspect`, for every instance at this RPC address."""
         for record in self._records.values():
             if record.entry.rpc == rpc:
                 record.suspected = True
 
     def forget_old(self, now: float) -> None:
-        """Drop instances that have been dead for a long time."""
+        """Remove instances not heard from for `forget_after` seconds."""
         for instance, record in list(self._records.items()):
-            if now - record.changed > self._cfg.forget_after:
+            if now - record.changed_at > self._cfg.forget_after:
                 self._records.pop(instance)
 
     def live(self, now: float) -> dict[str, MemberEntry]:
-        """Return the live and leaving entries by instance, own included."""
+        """Return live and leaving entries by instance, including the own."""
         found = {self.own.instance: self.own}
         for instance, record in self._records.items():
             if record.suspected or record.entry.state == 'gone':
                 continue
-            if now - record.changed > self._cfg.dead_after:
+            if now - record.changed_at > self._cfg.dead_after:
                 continue
             found[instance] = record.entry
         return found
 
     def known(self, instance: str) -> MemberEntry | None:
-        """Return the entry held of an instance, dead or alive."""
+        """Return the stored entry of an instance, dead or alive."""
         if instance == self.own.instance:
             return self.own
         record = self._records.get(instance)
         return record.entry if record else None
 
     def is_live(self, home: str, now: float) -> bool:
-        """Return whether this very incarnation counts as alive."""
+        """Return whether exactly this incarnation is considered alive."""
         instance, _, incarnation = home.partition('.')
         entry = self.live(now).get(instance)
         return entry is not None and entry.incarnation == incarnation
 
     def digest(self, now: float) -> tuple[MemberEntry, ...]:
-        """Return the own entry and the live others sent least recently.
+        """Return the own entry and the live entries sent least recently.
 
-        The dead are left out, else they would be learnt anew from peers that
-        have not yet forgotten them.
+        Dead instances are omitted. Otherwise instances that already forgot
+        them would learn them again from peers that did not.
         """
-        self._round += 1
+        self._gossip_round += 1
         live = self.live(now)
-        fresh = [
+        candidates = [
             record
             for instance, record in self._records.items()
             if instance in live or record.entry.state == 'gone'
         ]
-        oldest = sorted(fresh, key=lambda rec: rec.sent)
-        chosen = oldest[: DIGEST_ENTRIES - 1]
-        for sent in chosen:
-            sent.sent = self._round
+        least_recent = sorted(candidates, key=lambda rec: rec.last_sent_round)
+        chosen = least_recent[: DIGEST_ENTRIES - 1]
+        for selected in chosen:
+            selected.last_sent_round = self._gossip_round
         return (self.own, *(record.entry for record in chosen))
 
     def peers(self, seeds: tuple[str, ...], now: float) -> tuple[str, ...]:
-        """Return the rpc addresses to send this round's digest to.
+        """Return the RPC addresses that receive the digest of this round.
 
-        Peers follow the round number, so that all are met in turn; seeds
-        (from the list of instances) fill in while few members are known.
+        The round number selects the peers, so that every peer gets its turn.
+        Seeds, taken from the list of instances, are added so that there are
+        peers while few members are known.
         """
         live = self.live(now)
         addresses = {
@@ -172,19 +174,20 @@
         }
         addresses |= set(seeds)
         addresses.discard(self.own.rpc)
-        key = f'{self.own.instance}/{self._round}'
+        key = f'{self.own.instance}/{self._gossip_round}'
         return tuple(rendezvous.rank(key, addresses)[: self._cfg.fanout])
 
 
-def _newer(
+def _supersedes(
     offered: MemberEntry,
-    held: MemberEntry,
+    stored: MemberEntry,
     *,
     silent: bool,
 ) -> bool:
-    # Counters start at the wall clock in milliseconds of the process start,
-    # so a restarted instance usually stands above its earlier incarnations.
-    # Where its clock was set back, it takes over once the earlier is silent.
-    if offered.incarnation != held.incarnation and silent:
+    # Counters start at the wall clock time of the process start, in
+    # milliseconds, so a restarted instance is usually ahead of its earlier
+    # incarnations. If its clock was set back, the new incarnation is accepted
+    # once the earlier one is silent.
+    if offered.incarnation != stored.incarnation and silent:
         return True
-    return offered.counter > held.counter
+    return offered.counter > stored.counter
--- a/packages/membership/src/tallyhall_membership/rendezvous.py
+++ b/packages/membership/src/tallyhall_membership/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: every instance ranks the same nodes the same way.
+"""Rendezvous hashing: all instances rank the same nodes in the same order.
 
-A node's score depends on the key and the node alone, so a node that joins or
-leaves moves only the keys that it wins or held. The hash is BLAKE2b.
+The score of a node depends only on the key and the node. When a node joins or
+leaves, only the keys that it gains or held move. The hash is BLAKE2b.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def score(key: str, node: str) -> int:
-    """Return the node's score for the key, 0 up to 2**64 - 1."""
+    """Return the score of the node for the key, from 0 to 2**64 - 1."""
     raw = f'{key}\0{node}'.encode()
     digest = hashlib.blake2b(raw, digest_size=_SCORE_BYTES)
     return int.from_bytes(digest.digest(), 'big')
--- a/packages/membership/src/tallyhall_membership/shared.py
+++ b/packages/membership/src/tallyhall_membership/shared.py
@@ -1,8 +1,8 @@
-"""Shared values: only a higher revision is ever taken.
+"""Shared values, of which only a higher revision is ever accepted.
 
-The table, the assignment and the list of instances reach an instance from
-the platform or from a peer, in any order and more than once. This class
-holds the newest of each and answers which ones a peer lacks or has.
+The table, the assignment and the list of instances are delivered by the
+platform or by peers, in any order and possibly more than once. `SharedValues`
+stores the newest revision of each and compares revisions with those of peers.
 """
 
 from __future__ import annotations
@@ -13,62 +13,68 @@
 ASSIGNMENT = 'assignment'
 INSTANCES = 'instances'
 NAMES = (TABLE, ASSIGNMENT, INSTANCES)
-# How long a peer may take to send a value before another one is asked.
-_ASK_AGAIN_S = 0.3
+# Seconds to wait for a requested value before it is requested again.
+_REQUEST_TIMEOUT_S = 0.3
 
 
 class SharedValues:
     """The newest revision known of each shared value."""
 
     def __init__(self) -> None:
-        """Start with nothing known."""
-        self._held: dict[str, SharedValue] = {}
-        # name -> the revision asked for last, and when
-        self._asked: dict[str, tuple[int, float]] = {}
+        """Create an empty store."""
+        self._newest: dict[str, SharedValue] = {}
+        # name -> the revision requested last, and the time of the request
+        self._requested: dict[str, tuple[int, float]] = {}
 
     def revision(self, name: str) -> int:
-        """Return the revision held, 0 where there is none."""
-        held = self._held.get(name)
-        return held.revision if held else 0
+        """Return the stored revision, 0 if there is none."""
+        stored = self._newest.get(name)
+        return stored.revision if stored else 0
 
     def revisions(self) -> tuple[Revision, ...]:
-        """Return the revisions held, for a heartbeat."""
+        """Return the stored revisions, to be sent with a heartbeat."""
         return tuple(Revision(name, self.revision(name)) for name in NAMES)
 
     def is_newer(self, offered: SharedValue) -> bool:
-        """Return whether the offered value is newer than the one held."""
+        """Return whether the offered value is newer than the stored one."""
         return offered.name in NAMES and offered.revision > self.revision(
             offered.name
         )
 
     def take(self, offered: SharedValue) -> bool:
-        """Keep the value if it is newer; return whether it was."""
+        """Store the value if it is newer; return whether it was."""
         if not self.is_newer(offered):
             return False
-        self._held[offered.name] = offered
+        self._newest[offered.name] = offered
         return True
 
     def to_ask_for(
         self,
-        theirs: tuple[Revision, ...],
+        peer_revisions: tuple[Revision, ...],
         now: float,
     ) -> tuple[str, ...]:
-        """Return the names to ask a peer for, which holds newer revisions.
+        """Return the names to request from a peer with newer revisions.
 
-        Several peers tell of a new value before the first has sent it; asking
-        all of them would send every value nearly half as often again.
+        Several peers announce a new value before the first one has sent it.
+        Requesting it from all of them would increase the number of values
+        sent by nearly a half.
         """
         names = []
-        for rev in theirs:
+        for rev in peer_revisions:
             if rev.name not in NAMES or rev.revision <= self.revision(rev.name):
                 continue
-            asked, at = self._asked.get(rev.name, (0, now))
-            if rev.revision <= asked and now - at < _ASK_AGAIN_S:
+            requested, requested_at = self._requested.get(rev.name, (0, now))
+            if (
+                rev.revision <= requested
+                and now - requested_at < _REQUEST_TIMEOUT_S
+            ):
                 continue
-            self._asked[rev.name] = (rev.revision, now)
+            self._requested[rev.name] = (rev.revision, now)
             names.append(rev.name)
         return tuple(names)
 
     def select(self, names: tuple[str, ...]) -> tuple[SharedValue, ...]:
-        """Return the values held under these names."""
-        return tuple(self._held[name] for name in names if name in self._held)
+        """Return the stored values with these names."""
+        return tuple(
+            self._newest[name] for name in names if name in self._newest
+        )
--- a/tests/unit/test_members.py
+++ b/tests/unit/test_members.py
@@ -1,4 +1,4 @@
-"""Heartbeats: who counts as alive, restarts, bounded digests."""
+"""Heartbeat failure detection, restarts and the digest size limit."""
 
 import dataclasses
 
@@ -30,7 +30,7 @@
     return members
 
 
-def test_silence_counts_as_death_and_a_heartbeat_ends_it() -> None:
+def test_silent_instance_is_dead_until_its_next_heartbeat() -> None:
     members = _members()
     assert 'other' in members.live(1)
     assert 'other' not in members.live(3)
@@ -38,13 +38,13 @@
     assert 'other' in members.live(4)
 
 
-def test_old_news_does_not_revive() -> None:
+def test_stale_entry_does_not_revive_an_instance() -> None:
     members = _members()
     members.merge((_entry('other', counter=100),), 5)
     assert 'other' not in members.live(5)
 
 
-def test_a_suspect_is_alive_again_with_its_next_heartbeat() -> None:
+def test_suspected_instance_is_live_after_its_next_heartbeat() -> None:
     members = _members()
     members.suspect_address('other:1')
     assert 'other' not in members.live(1)
@@ -52,7 +52,7 @@
     assert 'other' in members.live(1)
 
 
-def test_a_restart_with_a_clock_set_back_is_taken_after_silence() -> None:
+def test_restart_with_a_clock_set_back_is_accepted_after_silence() -> None:
     members = _members()
     restarted = _entry('other', 'b', counter=5)
     members.merge((restarted,), 1)
@@ -61,7 +61,7 @@
     assert members.known('other') == restarted
 
 
-def test_a_digest_stays_small_and_reaches_everybody_in_turn() -> None:
+def test_digests_are_bounded_and_cover_all_members_in_turn() -> None:
     members = _members()
     others = [_entry(f'n{number}') for number in range(300)]
     members.merge(tuple(others), 0)
@@ -73,7 +73,7 @@
     assert len(sent) == 302
 
 
-def test_own_entry_rises() -> None:
+def test_heartbeat_increments_the_own_counter() -> None:
     members = _members()
     before = members.own
     members.beat(load=3)
