--- a/packages/core/src/tallyhall_core/__init__.py
+++ b/packages/core/src/tallyhall_core/__init__.py
@@ -1,4 +1,4 @@
-"""Plain types every other package shares: ids, messages, refusals, events.
+"""Types shared by all packages: ids, messages, refusals and log events.
 
-This package holds no behaviour that needs I/O, threads or a clock.
+Nothing in this package does I/O, starts threads or reads a clock.
 """
--- a/packages/core/src/tallyhall_core/content.py
+++ b/packages/core/src/tallyhall_core/content.py
@@ -1,23 +1,24 @@
-"""What a request asks for, as a digest.
+"""A digest of the content of a request.
 
-Each attempt of a caller may have an id of its own, so a request that comes
-again is known by what it asks alone. The digest is kept and logged in its
-place: bodies are large, and not ours to keep.
+Each attempt of a caller may have its own id, so a repeated request can only be
+recognised by its content. The digest is stored and logged instead of the body,
+because bodies are large and belong to the caller.
 """
 
 from __future__ import annotations
 
 import hashlib
 
-# Two of a million requests share a digest with a chance of one in 30 million.
+# With 8 bytes, the probability that any two of a million requests have the same
+# digest is one in 30 million.
 _DIGEST_BYTES = 8
 
 
 def content_digest(*parts: bytes) -> str:
-    """Return the same text for requests of which all parts are the same."""
+    """Return a hex digest that is equal for requests with equal parts."""
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in parts:
-        # With its length, so that parts cannot run into each other.
+        # The length prefix keeps the boundaries between parts unambiguous.
         digest.update(b'%d:' % len(part))
         digest.update(part)
     return digest.hexdigest()
--- a/packages/core/src/tallyhall_core/events.py
+++ b/packages/core/src/tallyhall_core/events.py
@@ -1,6 +1,6 @@
-"""Numbered log events; docs/EVENTS.md is their catalogue.
+"""Numbered log events, catalogued in docs/EVENTS.md.
 
-A log record names one of these and adds fields; it has no free text.
+A log record consists of one of these events and its fields, without free text.
 """
 
 from __future__ import annotations
@@ -10,7 +10,11 @@
 
 @enum.unique
 class Event(enum.IntEnum):
-    """Event numbers: 1xx process, 2xx platform, 3xx members, 4xx requests."""
+    """Event numbers.
+
+    1xx process, 2xx platform, 3xx members, 4xx requests, 5xx faults of the
+    process itself, 6xx operator orders.
+    """
 
     started = 100
     stopping = 101
--- a/packages/core/src/tallyhall_core/ids.py
+++ b/packages/core/src/tallyhall_core/ids.py
@@ -1,10 +1,10 @@
 """Request identifiers.
 
-A request id names the instance and incarnation that alone may dispatch the
-request (its home), and the facts that a takeover needs to be safe: the
-assignment epoch and the home's window at minting, and whether a takeover is
-allowed at all. Callers build ids from the prefix in a locate answer, so every
-field is checked when an id is parsed.
+A request id contains the home of the request, which is the only instance and
+incarnation that may dispatch it. It also contains what a safe takeover needs:
+the assignment epoch and the home's minting window when the id was created, and
+whether a takeover is allowed. Callers build ids from the prefix in the response
+to a locate request, so every field is validated when an id is parsed.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
 
 
 class BadRequestIdError(ValueError):
-    """A text that is not a request id."""
+    """The text is not a valid request id."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Home:
-    """One run of one instance: its name and its incarnation."""
+    """The name of an instance and the incarnation of one of its runs."""
 
     instance: str
     incarnation: str
 
     def __str__(self) -> str:
-        """Return the text form, instance and incarnation with a dot."""
+        """Return the text form, `<instance>.<incarnation>`."""
         return f'{self.instance}.{self.incarnation}'
 
     @classmethod
     def parse(cls, text: str) -> Home:
-        """Read the text form; raise BadRequestIdError on anything else."""
+        """Parse the text form; raise BadRequestIdError if it is invalid."""
         instance, _, incarnation = text.partition('.')
         if not instance or not incarnation:
             raise BadRequestIdError(text)
@@ -50,11 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestId:
-    """The identity of one request for its whole life.
+    """The identity of a request, constant over its lifetime.
 
-    epoch: assignment epoch that the home knew at minting.
-    window: the home's own count of minting windows since it started.
-    takeover: whether another instance may take the request over.
+    epoch: the assignment epoch known to the home when the id was created.
+    window: the number of minting windows since the home started.
+    takeover: whether another instance may take over the request.
     """
 
     home: Home
@@ -64,12 +64,12 @@
     nonce: str
 
     def __str__(self) -> str:
-        """Return the text form that travels in headers and messages."""
+        """Return the text form used in headers and messages."""
         return f'{self.prefix}.{self.nonce}'
 
     @property
     def prefix(self) -> str:
-        """Return the part that a locate answer gives to callers."""
+        """Return the part that callers get in response to a locate request."""
         mark = MARK_TAKEOVER if self.takeover else MARK_HOME_ONLY
         return f'{self.home}.{self.epoch}.{self.window}.{mark}'
 
@@ -87,7 +87,7 @@
 
     @classmethod
     def parse(cls, text: str) -> RequestId:
-        """Read the text form; raise BadRequestIdError on anything else."""
+        """Parse the text form; raise BadRequestIdError if it is invalid."""
         match = _PATTERN.fullmatch(text)
         if match is None:
             raise BadRequestIdError(text)
@@ -101,5 +101,5 @@
 
 
 def new_incarnation() -> str:
-    """Return a name for one run of an instance that no other run has had."""
+    """Return a random, unique identifier for one run of an instance."""
     return uuid.uuid4().hex[:INCARNATION_HEX]
--- a/packages/core/src/tallyhall_core/messages.py
+++ b/packages/core/src/tallyhall_core/messages.py
@@ -1,8 +1,8 @@
 """Messages between instances, and their codec.
 
-Each message is one frozen class told apart by its `kind`. Times travel as
-durations in seconds, never as clock readings, since clocks differ between
-instances. The codec is pydantic's, so that a message is checked on arrival.
+Each message is a frozen dataclass, discriminated by its `kind`. Times are sent
+as durations in seconds, never as timestamps, since clocks differ between
+instances. Messages are validated by pydantic when they are decoded.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
 
 
 class BadMessageError(ValueError):
-    """Bytes that are no message of this version."""
+    """The bytes are not a valid message of this protocol version."""
 
 
 @dataclass(frozen=True, config=_FROZEN)
 class Ask:
-    """A home asks a service's owner for a permit.
+    """A home requests a permit from the owner of a service.
 
-    left_s: seconds to the deadline. prefixes: hashes of growing prompt
-    prefixes, one for each block, shortest first. attempt tells repeated asks
-    of one request apart. content: digest of what is asked. ends: at how many
-    ends of upstreams such a call was, as the owner knows.
+    left_s: seconds until the deadline. prefixes: hashes of the prompt prefixes
+    that end at each block boundary, shortest first. attempt: distinguishes
+    repeated permit requests for one call. content: digest of the request
+    content. ends: how many upstreams terminated while running a call with this
+    content, as far as the owner knows.
     """
 
     id: str
@@ -50,9 +51,9 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Permit:
-    """The owner allows one dispatch of one request to one upstream.
+    """The owner allows one dispatch of a request to an upstream.
 
-    ends: as in the ask.
+    ends: as in `Ask`.
     """
 
     id: str
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class AskRefused:
-    """The owner will not permit the request."""
+    """The owner refuses a permit for the request."""
 
     id: str
     service: str
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class NotOwner:
-    """The asked instance does not own the service in its own view."""
+    """The receiver of a permit request does not consider itself the owner."""
 
     id: str
     service: str
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Withdraw:
-    """The home no longer wants a permit for the request."""
+    """The home cancels its permit request."""
 
     id: str
     service: str
@@ -99,13 +100,13 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Done:
-    """A permit comes back.
+    """The home returns a permit.
 
-    ran: whether any byte was written to the upstream. ok: whether the answer
-    was complete. broken: whether the upstream failed to answer whole. ended:
-    whether the upstream has ended since. content: as in the ask. ends: at how
-    many ends such a call was, with this one.
-    first_s: seconds from dispatch to the first token.
+    ran: whether any byte was written to the upstream. ok: whether the response
+    was complete. broken: whether the upstream failed to complete its response.
+    ended: whether the upstream has terminated since. content: as in `Ask`.
+    ends: how many upstreams terminated while running such a call, including
+    this one. first_s: seconds from dispatch to the first token.
     """
 
     id: str
@@ -128,9 +129,10 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Progress:
-    """What one home saw of one upstream since its last report.
+    """What a home measured of an upstream since its previous report.
 
-    streams: decoding streams; tokens: tokens received in elapsed_s.
+    streams: streams in the decoding phase. tokens: tokens received during
+    elapsed_s.
     """
 
     service: str
@@ -143,7 +145,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Revoke:
-    """The owner stops a running request to make room for a higher tier."""
+    """The owner preempts a running request in favour of a higher tier."""
 
     id: str
     service: str
@@ -152,7 +154,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Running:
-    """One permit in use, as its home reports it to a new owner."""
+    """A permit in use, as its home reports it to a new owner."""
 
     id: str
     upstream: str
@@ -167,7 +169,10 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class EndSeen:
-    """An upstream ended under a call, so many seconds ago; as in `Done`."""
+    """An upstream terminated while running a call, `age_s` seconds ago.
+
+    content, ends: as in `Done`.
+    """
 
     content: str
     upstream: str
@@ -177,9 +182,9 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Holding:
-    """Everything a home has running in a service, for a new owner.
+    """All requests of a home that run in a service, sent to a new owner.
 
-    seen: the ends of upstreams that it saw.
+    seen: the terminations of upstreams that the home observed.
     """
 
     service: str
@@ -192,7 +197,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class HoldingWanted:
-    """A new owner asks a home what it has running in the service."""
+    """A new owner asks a home for its running requests in a service."""
 
     service: str
     since: int
@@ -201,7 +206,10 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Query:
-    """A taker asks what the owner knows of a request of a fenced home."""
+    """Asks the owner what it knows about a request of a fenced home.
+
+    taker: the instance that takes over the request.
+    """
 
     id: str
     service: str
@@ -215,7 +223,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class QueryAnswer:
-    """The owner's knowledge of a queried request."""
+    """The owner's response to a `Query`."""
 
     id: str
     service: str
@@ -230,7 +238,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class MemberEntry:
-    """What is known of one instance; the higher counter is the newer."""
+    """The state of an instance; the entry with the higher counter is newer."""
 
     instance: str
     incarnation: str
@@ -248,7 +256,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Revision:
-    """The revision that the sender holds of one shared value."""
+    """The revision of a shared value that the sender has stored."""
 
     name: str
     revision: int
@@ -256,7 +264,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Digest:
-    """A heartbeat: member entries and revisions of the shared values."""
+    """A heartbeat with member entries and revisions of shared values."""
 
     members: tuple[MemberEntry, ...]
     revisions: tuple[Revision, ...]
@@ -265,7 +273,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class Want:
-    """The sender lacks newer revisions of these shared values."""
+    """Requests the newer revisions of these shared values from a peer."""
 
     names: tuple[str, ...]
     kind: Literal['want'] = 'want'
@@ -273,7 +281,7 @@
 
 @dataclass(frozen=True, config=_FROZEN)
 class SharedValue:
-    """One shared value with its revision."""
+    """A shared value with its revision."""
 
     name: str
     revision: int
@@ -305,12 +313,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the wire form of a message."""
+    """Return the encoded message."""
     return _ADAPTER.dump_json(message)
 
 
 def decode(raw: bytes) -> Message:
-    """Read a wire form; raise BadMessageError where it does not fit."""
+    """Decode a message; raise BadMessageError if it is invalid."""
     try:
         return _ADAPTER.validate_json(raw)
     except pydantic.ValidationError as exc:
--- a/packages/core/src/tallyhall_core/refusals.py
+++ b/packages/core/src/tallyhall_core/refusals.py
@@ -1,8 +1,8 @@
-"""The catalogue of refusals: number, reason, HTTP status, text.
+"""The catalogue of refusals: error code, reason, HTTP status and text.
 
-Every answer that is not the upstream's own carries one of these. `Executed`
-says what is known about the upstream: NO only where nothing was dispatched
-and nothing ever can be.
+Every response that does not come from an upstream carries one of these.
+`Executed` tells whether an upstream may have run the request. It is `no` only
+if the request was not dispatched and can never be.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One row of the catalogue."""
+    """One catalogue entry."""
 
     number: int
     status: int
@@ -32,7 +32,7 @@
 
 @enum.unique
 class Reason(enum.StrEnum):
-    """Names of the refusals, also used as counter names."""
+    """Refusal reasons, also used as metric names."""
 
     bad_request = 'bad_request'
     unknown_workspace = 'unknown_workspace'
@@ -66,56 +66,46 @@
     quarantined = 'quarantined'
 
 
-_NOT_RUN = Executed.no
+_NO = Executed.no
 _UNKNOWN = Executed.unknown
 _YES = Executed.yes
 
 CATALOGUE = {  # noqa: WPS407  (read only; a mapping proxy hides the types)
-    Reason.bad_request: Entry(1001, 400, _NOT_RUN, 'The request is malformed.'),
-    Reason.unknown_workspace: Entry(1002, 403, _NOT_RUN, 'Unknown workspace.'),
-    Reason.unknown_service: Entry(1003, 404, _NOT_RUN, 'Unknown service.'),
-    Reason.unknown_tier: Entry(
-        1004, 400, _NOT_RUN, 'Tier not open to this row.'
-    ),
-    Reason.body_too_large: Entry(1005, 413, _NOT_RUN, 'The body is too large.'),
-    Reason.deadline_past: Entry(
-        1006, 400, _NOT_RUN, 'The deadline has passed.'
-    ),
-    Reason.bad_request_id: Entry(
-        1007, 400, _NOT_RUN, 'Use a fresh locate answer.'
-    ),
-    Reason.not_ready: Entry(1101, 503, _NOT_RUN, 'No table is in force yet.'),
-    Reason.stopping: Entry(1102, 503, _NOT_RUN, 'The instance is stopping.'),
-    Reason.unknown_key: Entry(1008, 401, _NOT_RUN, 'No workspace has the key.'),
-    Reason.unknown_route: Entry(1009, 404, _NOT_RUN, 'No route has the path.'),
+    Reason.bad_request: Entry(1001, 400, _NO, 'The request is malformed.'),
+    Reason.unknown_workspace: Entry(1002, 403, _NO, 'Unknown workspace.'),
+    Reason.unknown_service: Entry(1003, 404, _NO, 'Unknown service.'),
+    Reason.unknown_tier: Entry(1004, 400, _NO, 'Tier not open to this row.'),
+    Reason.body_too_large: Entry(1005, 413, _NO, 'The body is too large.'),
+    Reason.deadline_past: Entry(1006, 400, _NO, 'The deadline has passed.'),
+    Reason.bad_request_id: Entry(1007, 400, _NO, 'Use a fresh locate answer.'),
+    Reason.not_ready: Entry(1101, 503, _NO, 'No table is in force yet.'),
+    Reason.stopping: Entry(1102, 503, _NO, 'The instance is stopping.'),
+    Reason.unknown_key: Entry(1008, 401, _NO, 'No workspace has the key.'),
+    Reason.unknown_route: Entry(1009, 404, _NO, 'No route has the path.'),
     Reason.state_not_confirmed: Entry(
-        1103, 503, _NOT_RUN, 'The API keys in force cannot be confirmed now.'
+        1103, 503, _NO, 'The API keys in force cannot be confirmed now.'
     ),
     Reason.upstream_full: Entry(
-        1208, 503, _NOT_RUN, 'The upstreams took no more requests.'
+        1208, 503, _NO, 'The upstreams took no more requests.'
     ),
     Reason.quarantined: Entry(
-        1209, 503, _NOT_RUN, 'Upstreams ended while they ran this request.'
+        1209, 503, _NO, 'Upstreams ended while they ran this request.'
     ),
     Reason.timed_out: Entry(
         1305, 504, _UNKNOWN, 'The time was over before the answer came.'
     ),
     Reason.deadline_unreachable: Entry(
-        1201, 503, _NOT_RUN, 'The deadline cannot be met even without a queue.'
+        1201, 503, _NO, 'The deadline cannot be met even without a queue.'
     ),
-    Reason.rate_limited: Entry(
-        1202, 429, _NOT_RUN, 'The row is over its rate.'
-    ),
-    Reason.shed: Entry(1203, 503, _NOT_RUN, 'Load is being shed.'),
-    Reason.queue_full: Entry(1204, 503, _NOT_RUN, 'The queue is full.'),
+    Reason.rate_limited: Entry(1202, 429, _NO, 'The row is over its rate.'),
+    Reason.shed: Entry(1203, 503, _NO, 'Load is being shed.'),
+    Reason.queue_full: Entry(1204, 503, _NO, 'The queue is full.'),
     Reason.deadline_exceeded: Entry(
-        1205, 504, _NOT_RUN, 'The deadline passed while the request waited.'
-    ),
-    Reason.no_upstream: Entry(
-        1206, 503, _NOT_RUN, 'No upstream takes new work.'
+        1205, 504, _NO, 'The deadline passed while the request waited.'
     ),
+    Reason.no_upstream: Entry(1206, 503, _NO, 'No upstream takes new work.'),
     Reason.owner_unreachable: Entry(
-        1207, 503, _NOT_RUN, 'The owner of the service cannot be reached.'
+        1207, 503, _NO, 'The owner of the service cannot be reached.'
     ),
     Reason.revoked: Entry(
         1301, 503, _YES, 'Stopped while running, for a higher tier.'
@@ -143,10 +133,9 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A final answer that is not the upstream's.
+    """A final response that does not come from an upstream.
 
-    retry_after: seconds after which asking again may help; None where it
-    never will.
+    retry_after: seconds after which a retry may succeed, None if none can.
     """
 
     reason: Reason
@@ -162,15 +151,15 @@
         retry_after: float | None = None,
         detail: str = '',
     ) -> Refusal:
-        """Return the refusal with the catalogue's own `executed`."""
+        """Return a refusal with the `executed` value from the catalogue."""
         executed = CATALOGUE[reason].executed
         return cls(reason, executed, retry_after, detail)
 
 
 class RefusedError(Exception):
-    """A request is answered with a refusal."""
+    """Raised to answer a request with a refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
-        """Keep the refusal."""
+        """Store the refusal to send."""
         super().__init__(refusal.reason)
         self.refusal = refusal
--- a/packages/core/src/tallyhall_core/suspects.py
+++ b/packages/core/src/tallyhall_core/suspects.py
@@ -1,17 +1,20 @@
-"""Requests that may be the cause of the end of the upstreams they ran at.
-
-An upstream that ends takes all that runs there along, and upstreams end for
-many reasons. So the requests of one end are suspects, no more: what is served
-since is cleared, and what ran at two ends runs again only as a trial, one at a
-time in the whole fleet. Only what ends upstreams in its trials too is given up,
-for longer each time.
-
-A run counts as one end more than were known of its request when it was sent.
-So upstreams that end all at once, as power is lost, say no more of what ran at
-several of them than one would, and no clock has to tell them from others.
-
-Requests are known by a digest of what they ask. Times are seconds of the day's
-clock since 1970, as instances share no other. Nothing here does I/O.
+"""Quarantine of requests suspected of terminating upstreams.
+
+When an upstream terminates, all its running requests fail, and upstreams
+terminate for many reasons. Requests that ran on one terminated upstream are
+therefore only suspects. A suspect that is later served is cleared. One that was
+running at two terminations is repeated only as a trial, one at a time in the
+whole fleet. Only if upstreams terminate during its trials as well is a request
+quarantined, for longer after each termination.
+
+A termination counts as one more than were known for the request when it was
+sent. So upstreams that terminate together, for example in a power failure,
+count as one for a request that ran on several of them, without comparing
+clocks.
+
+Requests are identified by a digest of their content. Times are wall clock
+seconds since 1970, the only clock that instances share. Nothing in this module
+does I/O.
 """
 
 from __future__ import annotations
@@ -23,36 +26,40 @@
 
 import msgspec
 
-# What is known of an end is kept this long, in seconds: an upstream that has
-# been repaired meanwhile is tried again.
+# Seconds after which a termination is forgotten, so that the request is tried
+# again in case the upstreams were repaired meanwhile.
 KEPT_S = 600.0
-# From so many ends on a request runs as a trial only.
-_TRIED_ENDS = 2
-# How long after the last end the next trial may be, in seconds, by the number
-# of ends: a usual request that was there by chance is served by the second or
-# third trial. With more ends it waits until they are forgotten.
-_TRIAL_AFTER_S: Mapping[int, float] = types.MappingProxyType(
+# Number of terminations from which on a request runs only as a trial.
+_TRIAL_THRESHOLD = 2
+# Seconds from the last termination to the next trial, by the number of
+# terminations. A harmless request that was running by coincidence is served by
+# the second or third trial. With more terminations than listed here, a request
+# is quarantined until they are forgotten.
+_TRIAL_DELAY_S: Mapping[int, float] = types.MappingProxyType(
     {2: 0, 3: 5, 4: 60},
 )
-# Requests that are kept; each upstream that ends brings as many as it ran.
-_MOST_KEPT = 2000
-_DROPPED_PART = 4
-# More ends than a request has before it is given up; a number above it is none.
-_MOST_ENDS = 1_000_000
+# Maximum number of requests to remember; each terminated upstream adds as many
+# as it was running.
+_MAX_RECORDS = 2000
+# One in this many records is evicted when the maximum is reached.
+_EVICTION_DIVISOR = 4
+# Counts above this are rejected as invalid: it is more than any request reaches
+# before it is quarantined.
+_MAX_ENDS = 1_000_000
 
 
 class EndedRun(msgspec.Struct, frozen=True, array_like=True):
-    """A run that ended with its upstream.
+    """A request that was running when its upstream terminated.
 
-    ends: at how many ends its request was, with this one.
+    ends: the number of terminations counted for it, including this one.
     """
 
     content: str
-    ends: Annotated[int, msgspec.Meta(ge=1, le=_MOST_ENDS)]
+    ends: Annotated[int, msgspec.Meta(ge=1, le=_MAX_ENDS)]
 
 
 class UpstreamEnd(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream ended while it ran these."""
+    """An upstream terminated while running these requests."""
 
     upstream: str
     at_s: float
@@ -60,7 +67,7 @@
 
 
 class Cleared(msgspec.Struct, frozen=True, array_like=True):
-    """A suspect was served."""
+    """A suspect request was served."""
 
     content: str
     at_s: float
@@ -70,8 +77,8 @@
 class Verdict(enum.Enum):
     """Whether a request may run.
 
-    free: as any other. trial: if no other like it runs anywhere. given_up: not
-    now.
+    free: without restriction. trial: only while no request with the same
+    content runs anywhere. given_up: not now.
     """
 
     free = 'free'
@@ -80,9 +87,9 @@
 
 
 class Standing(msgspec.Struct, frozen=True):
-    """What is known of a request: how many ends it was at, and what follows.
+    """The number of terminations counted for a request, and the verdict.
 
-    wait_s: until it may run as a trial.
+    wait_s: seconds until it may run as a trial.
     """
 
     ends: int
@@ -93,74 +100,86 @@
 _FREE = Standing(0, Verdict.free)
 
 
-class _Seen(msgspec.Struct, frozen=True):
+class _Termination(msgspec.Struct, frozen=True):
     at_s: float
     ends: int
 
 
 class _Record(msgspec.Struct):
-    """What is known of one request, by the upstreams that ended under it."""
+    """The terminations counted for one request, by upstream."""
 
-    by_upstream: dict[str, _Seen]
+    by_upstream: dict[str, _Termination]
     cleared_at: float
 
     @property
     def ends(self) -> int:
-        """Return at how many ends it was since it was served last."""
-        return max((seen.ends for seen in self._uncleared()), default=0)
+        """Return the number of terminations since it was last served."""
+        return max(
+            (termination.ends for termination in self._since_cleared()),
+            default=0,
+        )
 
     @property
     def newest_at(self) -> float:
-        """Return when it was at an end last."""
-        times = (seen.at_s for seen in self._uncleared())
+        """Return the time of the latest termination counted for it."""
+        times = (termination.at_s for termination in self._since_cleared())
         return max(times, default=self.cleared_at)
 
-    def take(self, upstream: str, seen: _Seen) -> bool:
-        """Take an end, also of several runs; return whether it is news."""
-        known = self.by_upstream.get(upstream, seen)
-        merged = _Seen(max(known.at_s, seen.at_s), max(known.ends, seen.ends))
+    def take(self, upstream: str, termination: _Termination) -> bool:
+        """Merge in a termination; return whether the record changed.
+
+        Reports of several runs on the same upstream are merged.
+        """
+        known = self.by_upstream.get(upstream, termination)
+        merged = _Termination(
+            max(known.at_s, termination.at_s), max(known.ends, termination.ends)
+        )
         if self.by_upstream.get(upstream) == merged:
             return False
         self.by_upstream[upstream] = merged
         return True
 
     def forget(self, before: float) -> None:
-        """Drop what happened by then."""
-        for upstream, seen in tuple(self.by_upstream.items()):
-            if seen.at_s <= before:
+        """Remove the terminations up to this time."""
+        for upstream, termination in tuple(self.by_upstream.items()):
+            if termination.at_s <= before:
                 self.by_upstream.pop(upstream)
 
-    def _uncleared(self) -> Iterator[_Seen]:
-        for seen in self.by_upstream.values():
-            if seen.at_s > self.cleared_at:
-                yield seen
+    def _since_cleared(self) -> Iterator[_Termination]:
+        for termination in self.by_upstream.values():
+            if termination.at_s > self.cleared_at:
+                yield termination
 
 
 class Suspects:
-    """All requests that were at the end of an upstream lately."""
+    """All requests that were running when an upstream terminated recently."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty collection."""
         self._records: dict[str, _Record] = {}
 
     def take_end(self, end: UpstreamEnd, now: float) -> bool:
-        """Take an end, maybe once more; return whether it is news."""
-        # A clock that is ahead must not keep it for longer.
+        """Record a termination; return whether it changed any record.
+
+        The same termination may be reported several times.
+        """
+        # A sender whose clock is ahead must not extend the quarantine.
         at_s = min(end.at_s, now)
         if at_s <= now - KEPT_S:
             return False
-        is_news = False
+        has_changed = False
         for run in end.runs:
             record = self._record(run.content, now)
-            if record.take(end.upstream, _Seen(at_s, run.ends)):
-                is_news = True
-        return is_news
+            if record.take(end.upstream, _Termination(at_s, run.ends)):
+                has_changed = True
+        return has_changed
 
     def served(self, content: str, now: float) -> Cleared | None:
-        """Take that a request was served here; return what to tell of it.
+        """Record that a request was served here; return what to broadcast.
 
-        None where it was no suspect. The clocks of those that told of its ends
-        may be ahead of this one.
+        Returns None if it was no suspect. The clocks of the instances that
+        reported its terminations may be ahead of the local clock, so the
+        returned time is never before the latest termination.
         """
         record = self._records.get(content)
         if record is None or not record.ends:
@@ -170,7 +189,10 @@
         return cleared
 
     def take_cleared(self, cleared: Cleared, now: float) -> bool:
-        """Take that a request was served; return whether it is news."""
+        """Record that another instance served a request.
+
+        Returns whether it changed the record.
+        """
         at_s = min(cleared.at_s, now)
         if at_s <= now - KEPT_S:
             return False
@@ -181,15 +203,15 @@
         return True
 
     def standing(self, content: str, now: float) -> Standing:
-        """Return what is known of a request."""
+        """Return whether a request may run, and why."""
         record = self._records.get(content)
         if record is None:
             return _FREE
         record.forget(now - KEPT_S)
         ends = record.ends
-        if ends < _TRIED_ENDS:
+        if ends < _TRIAL_THRESHOLD:
             return Standing(ends, Verdict.free)
-        trial_at = record.newest_at + _TRIAL_AFTER_S.get(ends, KEPT_S)
+        trial_at = record.newest_at + _TRIAL_DELAY_S.get(ends, KEPT_S)
         if now < trial_at:
             return Standing(ends, Verdict.given_up, trial_at - now)
         return Standing(ends, Verdict.trial)
@@ -197,23 +219,23 @@
     def _record(self, content: str, now: float) -> _Record:
         record = self._records.get(content)
         if record is None:
-            if len(self._records) >= _MOST_KEPT:
-                self._make_room(now)
+            if len(self._records) >= _MAX_RECORDS:
+                self._evict(now)
             record = _Record({}, float('-inf'))
             self._records[content] = record
         return record
 
-    def _make_room(self, now: float) -> None:
-        """Drop a quarter, least suspect and oldest first.
+    def _evict(self, now: float) -> None:
+        """Evict a quarter of the records: fewest terminations, then oldest.
 
-        A caller that asks something else each time must not push out those
-        that end upstreams again and again.
+        A caller that sends different requests each time must not evict those
+        that repeatedly terminate upstreams.
         """
         for known in self._records.values():
             known.forget(now - KEPT_S)
-        ranked = sorted(self._records.items(), key=_suspicion)
-        self._records = dict(ranked[len(ranked) // _DROPPED_PART :])
+        ranked = sorted(self._records.items(), key=_eviction_order)
+        self._records = dict(ranked[len(ranked) // _EVICTION_DIVISOR :])
 
 
-def _suspicion(row: tuple[str, _Record]) -> tuple[int, float]:
+def _eviction_order(row: tuple[str, _Record]) -> tuple[int, float]:
     return row[1].ends, row[1].newest_at
--- a/tests/unit/test_ids.py
+++ b/tests/unit/test_ids.py
@@ -1,4 +1,4 @@
-"""Request ids: what is read back is what was written; the rest is refused."""
+"""Request ids survive a round trip, and malformed ones are rejected."""
 
 import pytest
 from hypothesis import given
@@ -42,6 +42,6 @@
         'entry-1.0123456789ab.1.2.t.00000000\n',
     ],
 )
-def test_malformed(text: str) -> None:
+def test_malformed_ids_are_rejected(text: str) -> None:
     with pytest.raises(BadRequestIdError):
         RequestId.parse(text)
