--- a/packages/dispatch/src/tallyhall_dispatch/callers.py
+++ b/packages/dispatch/src/tallyhall_dispatch/callers.py
@@ -1,9 +1,10 @@
-"""When a caller first tried, told by the limit that it states.
+"""Estimates when a caller made its first attempt, from its stated timeout.
 
-A caller that comes back states what is left of its limit, so the time since
-its first try is what lacks of the limit that the route's callers state at
-first. What a request is worth counts from its first try: one that comes back
-past its objective must not take a place from one that can still be in time.
+A caller that retries states the rest of its timeout. The time since its first
+attempt is the difference to the timeout that callers of the route state at
+first. The latency objective of a request counts from the first attempt: a retry
+that has already missed it must not take a slot from a request that can still
+meet it.
 """
 
 from __future__ import annotations
@@ -12,31 +13,33 @@
 
 from .desired import Route
 
-# A limit that is stated counts for a route for this long, in seconds; another
-# desired state may come with other limits.
-_KEPT_S = 10.0
-# What lacks of a limit at a first try, in seconds: its way and its connection.
-_WAY_S = 0.15
-# Nobody comes back later than this after a first try, in seconds: callers wait
-# for up to 3 s when told to, and a second for a connection. What lacks more is
-# another caller's limit.
-_LONGEST_S = 5.0
+# Seconds after which a stated timeout of a route expires, because callers may
+# state other timeouts after a change of the desired state.
+_TTL_S = 10.0
+# Maximum difference at a first attempt, in seconds, caused by the network and
+# by opening the connection.
+_MAX_OVERHEAD_S = 0.15
+# Maximum time from the first attempt to a retry, in seconds. Callers honour
+# retry delays of up to 3 s and wait up to 1 s for a connection. A larger
+# difference means that the caller uses a different timeout.
+_MAX_RETRY_AGE_S = 5.0
 
 
-class _Stated(msgspec.Struct):
+class _StatedTimeout(msgspec.Struct):
     limit_s: float
     at: float
 
 
 class FirstTries:
-    """The longest limits that callers of a workspace state on each route.
+    """The longest timeouts stated by the callers, per route and workspace.
 
-    Those of another workspace cannot make them look late.
+    They are kept per workspace, so that callers of one workspace cannot make
+    those of another one look late.
     """
 
     def __init__(self) -> None:
-        """Start without callers."""
-        self._stated: dict[tuple[str, str], _Stated] = {}
+        """Create an empty collection."""
+        self._stated: dict[tuple[str, str], _StatedTimeout] = {}
 
     def since_s(
         self,
@@ -45,23 +48,23 @@
         limit_s: float | None,
         now: float,
     ) -> float:
-        """Return the seconds since the first try, 0 for a first one.
+        """Return the seconds since the first attempt, 0 for a first attempt.
 
-        limit_s: how long the caller waits yet, as it states. One above the
-        route's own limit tells nothing of the others'.
+        limit_s: the stated rest of the caller's timeout. A value above the
+        timeout of the route is ignored, as it says nothing about other callers.
         """
         if limit_s is None or limit_s > route.timeout_s:
             return 0
         callers = (route.name, workspace)
         known = self._stated.get(callers)
-        if known is None or now - known.at > _KEPT_S:
-            known = _Stated(0, now)
+        if known is None or now - known.at > _TTL_S:
+            known = _StatedTimeout(0, now)
             self._stated[callers] = known
         if limit_s >= known.limit_s:
             known.limit_s = limit_s
             known.at = now
             return 0
-        lacks_s = known.limit_s - limit_s
-        if lacks_s < _WAY_S or lacks_s > _LONGEST_S:
+        elapsed_s = known.limit_s - limit_s
+        if elapsed_s < _MAX_OVERHEAD_S or elapsed_s > _MAX_RETRY_AGE_S:
             return 0
-        return lacks_s
+        return elapsed_s
--- a/packages/dispatch/src/tallyhall_dispatch/forecast.py
+++ b/packages/dispatch/src/tallyhall_dispatch/forecast.py
@@ -1,4 +1,4 @@
-"""What is foreseen of a service when its queue is looked at."""
+"""Capacity forecast of a service, used to schedule its queue."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class Forecast(msgspec.Struct, frozen=True):
-    """What the upstreams of a service can do from a moment on.
+    """The capacity of the upstreams of a service from a given time on.
 
-    rate: places that become free in a second, 0 if unknown. first_s: fixed
-    part of the time to a first event. token_s: least time to read a token of
-    a prompt, anywhere.
+    rate: slots that become free per second, 0 if unknown. first_s: fixed part
+    of the time to the first event. token_s: prefill time per prompt token on
+    the fastest upstream.
     """
 
     now: float
@@ -20,7 +20,10 @@
     first_s: float
     token_s: float
 
-    def may_be_in_time(self, job: Job, starts_at: float) -> bool:
-        """Return whether the fastest upstream could be in time."""
+    def can_meet_deadline(self, job: Job, starts_at: float) -> bool:
+        """Return whether the fastest upstream could meet the deadline.
+
+        starts_at: when the job would start.
+        """
         first_s = self.first_s + job.prompt_tokens * self.token_s
         return starts_at + first_s <= job.due_at
--- a/packages/dispatch/src/tallyhall_dispatch/group.py
+++ b/packages/dispatch/src/tallyhall_dispatch/group.py
@@ -1,4 +1,4 @@
-"""The upstreams of one service as one instance sees them."""
+"""The upstreams of one service, as known to one instance."""
 
 from __future__ import annotations
 
@@ -8,59 +8,61 @@
 import msgspec
 
 from .desired import Upstream
-from .engines import FIRST_FIXED_S, EngineView
+from .engines import FIRST_FIXED_S, UpstreamState
 from .forecast import Forecast
 from .jobs import Job
 from .switches import Switches
 from .token_bucket import TokenBucket
 
-# A forecast looks at all upstreams, so it is made anew after this long, in
-# seconds; a fortieth of the shortest objective.
-_FORECAST_S = 0.02
-# An upstream on trial is the first choice for so long, in seconds.
-_CANARY_TURN_S = 4.0
+# Seconds for which a forecast is cached, because computing one reads the state
+# of all upstreams. A fortieth of the shortest latency objective.
+_FORECAST_TTL_S = 0.02
+# Seconds for which the same canary upstream is the first choice.
+_CANARY_ROTATION_S = 4.0
 
 
 class UpstreamGroup:
-    """Views of the upstreams that are named, by incarnation."""
+    """The states of the registered upstreams, by incarnation."""
 
     def __init__(self, switches: Switches, rng: random.Random) -> None:
-        """Start without upstreams."""
+        """Create a group without upstreams."""
         self._rng = rng
-        # The part of all places that may be filled from here: what instances
-        # that are not heard may be filling themselves is left alone.
+        # Share of all slots that this instance may fill. The rest is left to
+        # instances that cannot be reached and may be filling slots themselves.
         self.share: float = 1
-        # Whether one that does not leave names a limit, also one on trial.
+        # Whether any upstream that is not leaving announces a rate limit,
+        # canaries included.
         self.is_limited = False
-        # Whether all do that stay, so that their limits are all there is.
-        self.is_bound = False
+        # Whether all active upstreams do, so that their limits bound the
+        # total capacity.
+        self.all_limited = False
         self._switches = switches
-        self._views: dict[str, EngineView] = {}
-        self._misplaced: set[str] = set()
-        self._known: Forecast | None = None
+        self._views: dict[str, UpstreamState] = {}
+        self._ignored: set[str] = set()
+        self._cached_forecast: Forecast | None = None
 
     @property
-    def views(self) -> Mapping[str, EngineView]:
-        """Return what is known of each upstream."""
+    def views(self) -> Mapping[str, UpstreamState]:
+        """Return the state of each upstream."""
         return self._views
 
     @property
-    def places(self) -> int:
-        """Return how many places the upstreams have that stay."""
-        return sum(view.upstream.slots for view in self._staying())
+    def slots(self) -> int:
+        """Return the number of slots of the active upstreams."""
+        return sum(view.upstream.slots for view in self._active())
 
-    def take(self, upstreams: Iterable[Upstream]) -> None:
-        """Take the upstreams of the service as they stand now."""
+    def set_upstreams(self, upstreams: Iterable[Upstream]) -> None:
+        """Replace the list of registered upstreams of the service."""
         known = {upstream.incarnation: upstream for upstream in upstreams}
         for gone in self._views.keys() - known.keys():
             self._views.pop(gone)
-        self._misplaced &= known.keys()
+        self._ignored &= known.keys()
         for incarnation, upstream in known.items():
-            if incarnation in self._misplaced:
+            if incarnation in self._ignored:
                 continue
             view = self._views.get(incarnation)
             if view is None:
-                self._views[incarnation] = EngineView(upstream)
+                self._views[incarnation] = UpstreamState(upstream)
                 continue
             view.upstream = upstream
 
@@ -70,119 +72,132 @@
         part: float,
         now: float,
     ) -> None:
-        """Keep to what upstreams name; `part` of it is for this instance.
+        """Apply the rate limits announced by upstreams.
 
-        limits: requests a second, by incarnation. part: 0 where others decide.
+        limits: requests per second, by incarnation. part: the part of each
+        limit that this instance may use, 0 if other instances decide.
         """
         for incarnation, view in self._views.items():
             per_s = limits.get(incarnation)
             if per_s is None:
-                view.tokens = None
+                view.bucket = None
                 continue
-            if view.tokens is None:
-                view.tokens = TokenBucket(now, self._rng)
-            view.tokens.change_rate(per_s, part, now)
-        staying = self._staying()
-        self.is_bound = bool(staying) and all(one.tokens for one in staying)
+            if view.bucket is None:
+                view.bucket = TokenBucket(now, self._rng)
+            view.bucket.update_rate(per_s, part, now)
+        active = self._active()
+        self.all_limited = bool(active) and all(one.bucket for one in active)
         self.is_limited = any(
-            one.tokens and not one.upstream.leaving
+            one.bucket and not one.upstream.leaving
             for one in self._views.values()
         )
 
-    def limits_open_in_s(self, now: float) -> float:
-        """Return how long the limits of all that stay let nothing begin."""
+    def next_token_in_s(self, now: float) -> float:
+        """Return the seconds until a rate limit admits the next request.
+
+        The result is 0 if any active upstream has no limit.
+        """
         return min(
             (
-                0 if view.tokens is None else view.tokens.opens_in_s(now)
-                for view in self._staying()
+                0 if view.bucket is None else view.bucket.next_token_in_s(now)
+                for view in self._active()
             ),
             default=0,
         )
 
-    def misplaced(self, incarnation: str) -> None:
-        """Forget an upstream whose address another one has, while it is named.
+    def ignore(self, incarnation: str) -> None:
+        """Ignore an upstream whose address now belongs to another one.
 
-        A last report of one that has gone may come after its end and name it
-        for three heartbeats more; each look at it would cost a request's time.
+        It is ignored for as long as it is registered. The last report of a
+        terminated upstream may arrive after its termination and keep it
+        registered for three more heartbeats, in which each attempt to use it
+        would delay a request.
         """
         if self._views.pop(incarnation, None) is not None:
-            self._misplaced.add(incarnation)
+            self._ignored.add(incarnation)
 
-    def usable(self, now: float) -> list[EngineView]:
-        """Return the upstreams that take jobs: where all fail, all of them.
+    def usable(self, now: float) -> list[UpstreamState]:
+        """Return the active upstreams that are not ejected.
 
-        Most of what is sent to one that fails in part succeeds, and what is
-        kept from all of them is refused with their places free.
+        If all of them are ejected, all of them are returned. Most requests to
+        an upstream with partial failures succeed, and without any upstream,
+        requests would be refused while there are free slots.
         """
-        staying = self._staying()
+        active = self._active()
         if not self._switches.aside:
-            return staying
-        return [view for view in staying if not view.is_aside(now)] or staying
+            return active
+        return [view for view in active if not view.is_aside(now)] or active
 
-    def free_canaries(self, now: float) -> list[EngineView]:
-        """Return the upstreams on trial that have a free place.
+    def free_canaries(self, now: float) -> list[UpstreamState]:
+        """Return the canary upstreams that have a free slot.
 
-        The same one comes first for a while, so that it is seen under load,
-        then another one, as one alone tells little of all.
+        The same canary is the first choice for a while, so that it is observed
+        under load. Then the next one is, because a single canary says little
+        about the others.
         """
         canaries = sorted(self._canaries(), key=lambda view: view.incarnation)
         if not canaries:
             return canaries
-        first = int(now / _CANARY_TURN_S) % len(canaries)
+        first = int(now / _CANARY_ROTATION_S) % len(canaries)
         return [
             view
             for view in canaries[first:] + canaries[:first]
-            if view.has_place(1, now) and not view.is_aside(now)
+            if view.has_slot(1, now) and not view.is_aside(now)
         ]
 
-    def canary_places(self) -> int:
-        """Return how many places the upstreams on trial have."""
+    def canary_slots(self) -> int:
+        """Return the number of slots of the canary upstreams."""
         return sum(view.upstream.slots for view in self._canaries())
 
-    def free(self, now: float) -> list[EngineView]:
-        """Return the usable upstreams that have a free place."""
-        return [view for view in self.usable(now) if self.has_place(view, now)]
+    def free(self, now: float) -> list[UpstreamState]:
+        """Return the usable upstreams that have a free slot."""
+        return [view for view in self.usable(now) if self.has_slot(view, now)]
 
-    def has_place(self, view: EngineView, now: float) -> bool:
-        """Return whether a request may begin at an upstream now."""
-        return view.has_place(self.share, now)
+    def has_slot(self, view: UpstreamState, now: float) -> bool:
+        """Return whether a request may start at an upstream now."""
+        return view.has_slot(self.share, now)
 
-    def has_free(self, part: float, now: float) -> bool:
-        """Return whether at least this part of the usable places is free."""
+    def has_free_share(self, part: float, now: float) -> bool:
+        """Return whether at least this part of the usable slots is free."""
         usable = self.usable(now)
-        places = sum(view.upstream.slots for view in usable)
-        return self._free_in(usable, now) >= part * places
+        slots = sum(view.upstream.slots for view in usable)
+        return self._count_free(usable, now) >= part * slots
 
-    def free_places(self, now: float) -> int:
-        """Return how many places of the usable upstreams are free."""
-        return self._free_in(self.usable(now), now)
+    def free_slots(self, now: float) -> int:
+        """Return the number of free slots of the usable upstreams."""
+        return self._count_free(self.usable(now), now)
 
     def may_serve(self, job: Job) -> bool:
         """Return whether there is an upstream that this job may be sent to.
 
-        One that is left out for its failures comes back soon.
+        Ejected upstreams count, because an ejection is short.
         """
         return any(
-            view.incarnation not in job.excluded for view in self._staying()
+            view.incarnation not in job.excluded for view in self._active()
         )
 
-    def opens_in_s(self, resting: Mapping[str, float], now: float) -> float:
-        """Return how long all upstreams rest that stay, 0 if one does not."""
+    def backoff_ends_in_s(
+        self, resting: Mapping[str, float], now: float
+    ) -> float:
+        """Return the seconds until the first active upstream ends its backoff.
+
+        The result is 0 if any active upstream is not backing off.
+        """
         if not resting:
             return 0
-        ends = [resting.get(view.incarnation, now) for view in self._staying()]
+        ends = [resting.get(view.incarnation, now) for view in self._active()]
         return max(0, min(ends, default=now) - now)
 
     def forecast(self, now: float) -> Forecast:
-        """Return what the usable upstreams can do from now on."""
-        known = self._known
-        if known is not None and now - known.now < _FORECAST_S:
+        """Return the capacity forecast of the usable upstreams."""
+        known = self._cached_forecast
+        if known is not None and now - known.now < _FORECAST_TTL_S:
             return msgspec.structs.replace(known, now=now)
-        self._known = self._forecast_of(self.usable(now), now)
-        return self._known
+        self._cached_forecast = self._compute_forecast(self.usable(now), now)
+        return self._cached_forecast
 
     def forecast_for(self, job: Job, forecast: Forecast) -> Forecast:
-        """Return a forecast without the upstreams that rest for a job."""
+        """Return a forecast without the upstreams that back off for a job."""
         if not job.resting:
             return forecast
         now = forecast.now
@@ -191,31 +206,33 @@
             for view in self.usable(now)
             if view.incarnation not in job.resting
         ]
-        return self._forecast_of(usable, now)
+        return self._compute_forecast(usable, now)
 
-    def _forecast_of(
+    def _compute_forecast(
         self,
-        usable: Collection[EngineView],
+        usable: Collection[UpstreamState],
         now: float,
     ) -> Forecast:
-        rate = sum(view.free_rate for view in usable)
+        rate = sum(view.slot_release_rate for view in usable)
         first_s = FIRST_FIXED_S if usable else 0
         token_s = min((view.token_s for view in usable), default=0)
         return Forecast(now, rate, first_s, token_s)
 
-    def _free_in(self, views: Iterable[EngineView], now: float) -> int:
+    def _count_free(self, views: Iterable[UpstreamState], now: float) -> int:
         return sum(
-            view.free(self.share) for view in views if self.has_place(view, now)
+            view.free_slots(self.share)
+            for view in views
+            if self.has_slot(view, now)
         )
 
-    def _canaries(self) -> list[EngineView]:
+    def _canaries(self) -> list[UpstreamState]:
         return [
             view
             for view in self._views.values()
             if view.upstream.canary and not view.upstream.leaving
         ]
 
-    def _staying(self) -> list[EngineView]:
+    def _active(self) -> list[UpstreamState]:
         return [
             view
             for view in self._views.values()
--- a/packages/dispatch/src/tallyhall_dispatch/jobs.py
+++ b/packages/dispatch/src/tallyhall_dispatch/jobs.py
@@ -1,4 +1,4 @@
-"""A request as the queue sees it, and what becomes of it."""
+"""Queued requests and the reports of their execution."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """What a request needs of an upstream.
-
-    key: unique among all jobs of all instances. zone: of the instance that
-    sends it. urgency: sorts jobs, least first. due_at: when the first byte
-    should reach the caller. give_up_at: after this an upstream could no
-    longer answer in time. excluded: incarnations that must not be used again
-    for this request. spare: above the quota of its workspace, so that it
-    only uses places left over. pause_s: the longest pause between two events
-    of an answer that is on time, 0 where any is. suspect: digest of what is
-    asked if an upstream has ended under it, else empty. resting: upstreams to
-    which its instance must send nothing, and until when. route: of the request,
-    where upstreams of its service are on trial, else empty. once: whether it
-    may run only once.
+    """The requirements of a request for its upstream.
+
+    key: unique among the jobs of all instances. zone: the zone of the instance
+    that sends the request. urgency: priority class, lower values first. due_at:
+    deadline for the first byte to reach the caller. give_up_at: time after
+    which no upstream could respond before the caller's timeout. excluded:
+    incarnations that must not be used again for this request. spare: whether
+    the request exceeds the quota of its workspace and may only use idle slots.
+    pause_s: maximum pause between two events of a response that is on time, 0
+    if there is no limit. suspect: digest of the request content if an upstream
+    terminated while running it, else empty. resting: upstreams to which the
+    sending instance must not send anything, and until when. route: the route of
+    the request if its service has canary upstreams, else empty. once: whether
+    the request may run only once.
     """
 
     key: str
@@ -46,9 +47,10 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """Leave to send a job to an upstream: who gave it, after what wait.
+    """Permission to send a job to an upstream.
 
-    forecast_s: time that is expected until the first event from there.
+    by: the instance that granted it. waited_s: time in the queue. forecast_s:
+    expected time to the first event.
     """
 
     upstream: Upstream
@@ -59,13 +61,14 @@
 
 @enum.unique
 class Ending(enum.Enum):
-    """How one send to an upstream ended.
-
-    answered: a whole answer. failed: a whole answer with a server error.
-    withheld: not sent, as the upstream rests. rejected: the upstream says that
-    it did not run the request. misplaced: another incarnation has the address.
-    unsent: nothing was written. unknown: no answer, it may have run. broken:
-    the answer broke off. left: the caller went away.
+    """The outcome of one attempt to send a request to an upstream.
+
+    answered: complete response. failed: complete response with a server error.
+    withheld: not sent, because the upstream asked for a backoff. rejected: the
+    upstream reported that it did not run the request. misplaced: the address
+    belongs to another incarnation. unsent: nothing was written. unknown: no
+    response, the request may have run. broken: incomplete response. left: the
+    caller disconnected.
     """
 
     answered = 'answered'
@@ -79,18 +82,19 @@
     left = 'left'
 
 
-# Nothing of the request reached the upstream.
+# Outcomes in which no part of the request reached the upstream.
 NOT_SENT = frozenset((Ending.unsent, Ending.withheld))
-# The connection was lost before the answer was whole.
+# Outcomes in which the connection was lost before the response was complete.
 BROKEN_OFF = frozenset((Ending.unknown, Ending.broken))
 
 
 class RunReport(msgspec.Struct, frozen=True):
-    """What one send showed about its upstream.
+    """Measurements of one attempt to send a request to an upstream.
 
-    first_s: time to the first byte of the answer, None without one. events:
-    events that came. stream_s: time between the first and the last of them.
-    pause_s: the longest time between two of them, after pause_after events.
+    first_s: time to the first byte of the response, None without one. events:
+    number of events received. stream_s: time from the first to the last event.
+    pause_s: the longest time between two events. pause_after: number of events
+    before that pause.
     """
 
     ending: Ending
--- a/packages/dispatch/src/tallyhall_dispatch/named_limits.py
+++ b/packages/dispatch/src/tallyhall_dispatch/named_limits.py
@@ -1,8 +1,10 @@
-"""Limits that upstreams name in their answers: requests a second from all.
+"""Rate limits that upstreams announce in their responses.
 
-The newest word of an upstream counts, whoever heard it. An answer that names
-no limit takes the one before back, if it answers a request that was sent after
-that one was heard: answers that crossed it say nothing of it.
+A limit is the number of requests per second from all instances together. The
+latest announcement of an upstream applies, no matter which instance received
+it. A response without a limit withdraws the previous limit, but only if its
+request was sent after that limit was received. Responses to earlier requests
+may have been sent before the limit was announced.
 """
 
 from __future__ import annotations
@@ -11,15 +13,15 @@
 
 import msgspec
 
-# Upstreams whose words are remembered; see `Leavers`.
-_MOST_KEPT = 2000
+# Maximum number of upstreams whose announcements are kept; see `Leavers`.
+_MAX_KEPT = 2000
 
 
 class NamedLimit(msgspec.Struct, frozen=True):
-    """What an upstream said last, heard at a time of this instance's clock.
+    """The latest announcement of an upstream.
 
-    per_s: requests a second that it takes from all instances together, None
-    if it names no limit any more.
+    per_s: requests per second that it accepts from all instances together, None
+    if the limit was withdrawn. heard_at: time of receipt on the local clock.
     """
 
     per_s: float | None
@@ -27,61 +29,61 @@
 
 
 class NamedLimits:
-    """The newest words of all upstreams, by incarnation."""
+    """The latest announcements of all upstreams, by incarnation."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._words: dict[str, NamedLimit] = {}
+        """Create an empty collection."""
+        self._announced: dict[str, NamedLimit] = {}
         self._current: dict[str, float] = {}
 
     @property
     def current(self) -> Mapping[str, float]:
-        """Return the limits that stand."""
+        """Return the limits in force."""
         return self._current
 
     def word(self, incarnation: str) -> NamedLimit | None:
-        """Return what an upstream said last, None if it never named one."""
-        return self._words.get(incarnation)
+        """Return the latest announcement, None if there never was one."""
+        return self._announced.get(incarnation)
 
     def words(self) -> Iterator[tuple[str, NamedLimit]]:
-        """Yield what each upstream said last, also that it names none now."""
-        yield from self._words.items()
+        """Yield the latest announcements, including withdrawn limits."""
+        yield from self._announced.items()
 
     def take(self, incarnation: str, word: NamedLimit) -> bool:
-        """Take a word; return whether the limit is another one now."""
-        known = self._words.get(incarnation)
+        """Store an announcement; return whether the limit changed."""
+        known = self._announced.get(incarnation)
         if known is not None and word.heard_at < known.heard_at:
             return False
         if known is None and word.per_s is None:
             return False
-        # Behind all others, as it was heard last.
-        self._words.pop(incarnation, None)
-        self._words[incarnation] = word
+        # Reinserted at the end, so that the dict stays in order of receipt.
+        self._announced.pop(incarnation, None)
+        self._announced[incarnation] = word
         self._forget_oldest()
         if word.per_s is None:
             return self._current.pop(incarnation, None) is not None
-        is_news = self._current.get(incarnation) != word.per_s
+        has_changed = self._current.get(incarnation) != word.per_s
         self._current[incarnation] = word.per_s
-        return is_news
+        return has_changed
 
     def contradicted(self, incarnation: str, word: NamedLimit) -> bool:
-        """Return whether something else was heard after a word."""
-        known = self._words.get(incarnation)
+        """Return whether a different limit was received later."""
+        known = self._announced.get(incarnation)
         if known is None or known.heard_at <= word.heard_at:
             return False
         return known.per_s != word.per_s
 
     def is_taken_back(self, incarnation: str, asked_at: float) -> bool:
-        """Return whether an answer without a limit takes one back.
+        """Return whether a response without a limit withdraws the limit.
 
-        asked_at: when the request was sent that it answers.
+        asked_at: when the request of that response was sent.
         """
         if incarnation not in self._current:
             return False
-        return asked_at > self._words[incarnation].heard_at
+        return asked_at > self._announced[incarnation].heard_at
 
     def _forget_oldest(self) -> None:
-        if len(self._words) > _MOST_KEPT:
-            oldest = next(iter(self._words))
-            self._words.pop(oldest)
+        if len(self._announced) > _MAX_KEPT:
+            oldest = next(iter(self._announced))
+            self._announced.pop(oldest)
             self._current.pop(oldest, None)
--- a/packages/dispatch/src/tallyhall_dispatch/outstanding.py
+++ b/packages/dispatch/src/tallyhall_dispatch/outstanding.py
@@ -1,4 +1,4 @@
-"""What an instance admitted that the others do not know of yet."""
+"""Admitted amounts that other instances do not know about yet."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Outstanding:
-    """Amounts with their times, until all know of them."""
+    """Admitted amounts with their times, until all instances know them."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create an empty collection."""
         self._charges: collections.deque[_Charge] = collections.deque()
         self._total: float = 0
 
     def add(self, amount: float, now: float) -> None:
-        """Add what was admitted now."""
+        """Add an amount admitted at `now`."""
         self._charges.append(_Charge(now, amount))
         self._total += amount
 
     def take_back(self, amount: float, charged_at: float) -> None:
-        """Take back what did not run, if it is outstanding yet."""
+        """Subtract the amount of a request that did not run, if still held."""
         for charge in reversed(self._charges):
             if charge.at < charged_at:
                 return
@@ -36,9 +36,10 @@
                 return
 
     def since(self, since: float, known_at: float) -> float:
-        """Return what was admitted after a time, at the least `known_at`.
+        """Return the amount admitted after `since` and after `known_at`.
 
-        Forget what was admitted by then.
+        Amounts admitted up to `known_at` are known to all instances and are
+        removed.
         """
         charges = self._charges
         while charges and charges[0].at <= known_at:
--- a/packages/dispatch/src/tallyhall_dispatch/patience.py
+++ b/packages/dispatch/src/tallyhall_dispatch/patience.py
@@ -1,27 +1,27 @@
-"""Until when a request may wait for a place."""
+"""Time limit for a request to wait for a slot."""
 
 from __future__ import annotations
 
 from .desired import Route, RouteKind
 
-# Callers leave a stream after this long without an event: the longest of
-# 2 s, four objectives and eight of its longest pauses.
-_PATIENCE_S = 2.0
-_PATIENCE_OBJECTIVES = 4
-_PATIENCE_GAPS = 8
-# Part of a caller's patience after which a waiting request is given up: it
-# leaves the upstream time for the first event.
-_WAIT_PART = 0.7
+# Callers abandon a stream after this long without an event: the maximum of 2 s,
+# four times its latency objective and eight times its pause limit.
+_MIN_IDLE_TIMEOUT_S = 2.0
+_IDLE_TIMEOUT_OBJECTIVES = 4
+_IDLE_TIMEOUT_PAUSES = 8
+# Part of these timeouts that a request may spend in the queue. The rest leaves
+# the upstream time for the first event.
+_QUEUE_TIME_PART = 0.7
 
 
 def longest_wait_s(route: Route, limit_s: float) -> float:
-    """Return how long a request with this limit may wait for a place."""
-    wait_s = _WAIT_PART * limit_s
+    """Return how long a request with this timeout may wait for a slot."""
+    wait_s = _QUEUE_TIME_PART * limit_s
     if route.kind is not RouteKind.streaming:
         return wait_s
-    patience_s = max(
-        _PATIENCE_S,
-        _PATIENCE_OBJECTIVES * route.objective_s,
-        _PATIENCE_GAPS * route.gap_s,
+    idle_timeout_s = max(
+        _MIN_IDLE_TIMEOUT_S,
+        _IDLE_TIMEOUT_OBJECTIVES * route.objective_s,
+        _IDLE_TIMEOUT_PAUSES * route.gap_s,
     )
-    return min(wait_s, _WAIT_PART * patience_s)
+    return min(wait_s, _QUEUE_TIME_PART * idle_timeout_s)
--- a/packages/dispatch/src/tallyhall_dispatch/placing.py
+++ b/packages/dispatch/src/tallyhall_dispatch/placing.py
@@ -1,8 +1,8 @@
-"""The choice of an upstream for a job, among those with a free place.
+"""Selection of an upstream for a job, among those with a free slot.
 
-Upstreams of one service differ in speed by a factor of five, so a job goes
-where it is done first, and to none on which its answer would be late while it
-could be in time elsewhere.
+The upstreams of a service differ in speed by a factor of five. A job is sent to
+the upstream that is expected to complete it first, but not to one on which its
+response would be late while another upstream could meet the deadline.
 """
 
 from __future__ import annotations
@@ -10,25 +10,26 @@
 import random
 from collections.abc import Iterable, Iterator
 
-from .engines import EngineView
+from .engines import UpstreamState
 from .forecast import Forecast
 from .group import UpstreamGroup
 from .jobs import Job
 from .shares import AnswerLengths
 from .switches import Switches
 
-# Forecast costs are spread by up to this factor.
-_SPREAD = 1.1
-# An upstream of another zone must be better by this factor: bytes between
-# zones are paid for.
-_OTHER_ZONE = 1.6
-# A job waits for an upstream that keeps its pace until this part of the time
-# to its first event is left: on a slow one it is on time in half of the cases.
-_PACE_PART = 0.5
+# Expected costs are multiplied by a random factor of up to this.
+_MAX_JITTER = 1.1
+# An upstream in another availability zone must be better by this factor,
+# because traffic between zones is charged for.
+_CROSS_ZONE_FACTOR = 1.6
+# A job waits for an upstream that meets its pause limit until only this part of
+# the time to its deadline is left. On a slow upstream it is still on time in
+# half of the cases.
+_PAUSE_WAIT_PART = 0.5
 
 
-class Placing:
-    """Chooses upstreams of one group."""
+class UpstreamSelector:
+    """Selects upstreams of one group."""
 
     def __init__(
         self,
@@ -37,7 +38,10 @@
         rng: random.Random,
         switches: Switches,
     ) -> None:
-        """Choose in this group; an event holds so many tokens."""
+        """Select from this group.
+
+        event_tokens: the number of tokens in one event of a response.
+        """
         self._group = group
         self._event_tokens = event_tokens
         self._rng = rng
@@ -45,73 +49,84 @@
         self._lengths = AnswerLengths()
 
     def answered(self, job: Job, events: int) -> None:
-        """Learn how long the answer of a job was."""
+        """Update the expected response length from that of a job."""
         self._lengths.note(job.urgency, events)
 
     def best(
         self,
         job: Job,
-        free: Iterable[EngineView],
+        free: Iterable[UpstreamState],
         forecast: Forecast,
-    ) -> EngineView | None:
-        """Return the free upstream that is done first, None to wait on."""
-        best: EngineView | None = None
-        least: float = 0
-        events = self._events(job)
-        for view in self._acceptable(job, free, forecast):
-            # Instances that know nothing yet must not all choose the same.
+    ) -> UpstreamState | None:
+        """Return the upstream with the lowest expected cost.
+
+        Returns None if the job should wait for another upstream.
+        """
+        best: UpstreamState | None = None
+        lowest: float = 0
+        events = self._expected_events(job)
+        for view in self._candidates(job, free, forecast):
+            # Keeps instances without samples from all selecting the same one.
             cost = self._cost(view, job, events)
-            cost *= self._rng.uniform(1, _SPREAD)
+            cost *= self._rng.uniform(1, _MAX_JITTER)
             if view.upstream.zone != job.zone:
-                cost *= _OTHER_ZONE
-            if best is None or cost < least:
+                cost *= _CROSS_ZONE_FACTOR
+            if best is None or cost < lowest:
                 best = view
-                least = cost
+                lowest = cost
         return best
 
-    def _events(self, job: Job) -> float:
-        """Return the expected events of an answer.
+    def _expected_events(self, job: Job) -> float:
+        """Return the expected number of events in the response.
 
-        Callers state the most tokens that they take, ten times what comes.
+        The token limit that callers state is ten times the usual length, so the
+        lengths of earlier responses are used instead.
         """
         stated = job.output_tokens / max(1, self._event_tokens)
         if not self._switches.lengths:
             return stated
         return min(stated, self._lengths.events(job.urgency, stated))
 
-    def _cost(self, view: EngineView, job: Job, events: float) -> float:
+    def _cost(self, view: UpstreamState, job: Job, events: float) -> float:
         if job.suspect:
-            # What runs beside it would end with it.
+            # If it terminates the upstream, all requests running there fail.
             return 1 + len(view.runs)
         if not self._switches.speeds:
-            return 1 / view.free(self._group.share)
+            return 1 / view.free_slots(self._group.share)
         return view.total_s(job, events)
 
-    def _acceptable(
+    def _candidates(
         self,
         job: Job,
-        free: Iterable[EngineView],
+        free: Iterable[UpstreamState],
         forecast: Forecast,
-    ) -> Iterator[EngineView]:
-        """Yield the free upstreams whose places a job may take.
+    ) -> Iterator[UpstreamState]:
+        """Yield the free upstreams to which a job may be sent.
 
-        One that could be in time elsewhere does not take a place on which it
-        would be late, by its first event or by a pause later on.
+        If any upstream could meet the deadline, those are skipped on which the
+        first event or a later pause would make the response late.
         """
-        may_wait = forecast.may_be_in_time(job, forecast.now)
-        wants_pace = may_wait and self._waits_for_pace(job, forecast.now)
+        can_meet_deadline = forecast.can_meet_deadline(job, forecast.now)
+        needs_fast_upstream = (
+            can_meet_deadline
+            and self._waits_for_fast_upstream(job, forecast.now)
+        )
         for view in free:
-            if _is_barred(view, job, forecast.now):
+            if _is_excluded(view, job, forecast.now):
                 continue
-            if may_wait and self._would_begin_late(view, job, forecast.now):
+            if can_meet_deadline and self._would_start_late(
+                view, job, forecast.now
+            ):
                 continue
-            if wants_pace and not view.keeps_pace(job, self._event_tokens):
+            if needs_fast_upstream and not view.meets_pause_limit(
+                job, self._event_tokens
+            ):
                 continue
             yield view
 
-    def _would_begin_late(
+    def _would_start_late(
         self,
-        view: EngineView,
+        view: UpstreamState,
         job: Job,
         now: float,
     ) -> bool:
@@ -119,29 +134,30 @@
             return False
         return view.first_s(job) > job.due_at - now
 
-    def _waits_for_pace(self, job: Job, now: float) -> bool:
-        """Return whether a job is kept for upstreams without long pauses.
+    def _waits_for_fast_upstream(self, job: Job, now: float) -> bool:
+        """Return whether a job waits for an upstream without long pauses.
 
-        A slow one is taken all the same once waiting has cost a part of the
-        job's time, and where no other is quick enough either.
+        A slow upstream is accepted once the job has waited for a part of the
+        time to its deadline, or if no upstream is fast enough.
         """
         if not job.pause_s or not self._switches.pauses:
             return False
-        if job.due_at - now < _PACE_PART * (job.due_at - job.asked_at):
+        if job.due_at - now < _PAUSE_WAIT_PART * (job.due_at - job.asked_at):
             return False
         return any(
-            view.keeps_pace(job, self._event_tokens)
+            view.meets_pause_limit(job, self._event_tokens)
             for view in self._group.usable(now)
         )
 
 
-def _is_barred(view: EngineView, job: Job, now: float) -> bool:
-    """Return whether a job must not begin at an upstream.
+def _is_excluded(view: UpstreamState, job: Job, now: float) -> bool:
+    """Return whether a job must not start at an upstream.
 
-    Two suspects that ended with one upstream could not be told apart.
+    A suspect does not start while another one is in prefill there: if the
+    upstream terminated, it would be unknown which of them was the cause.
     """
     if view.incarnation in job.excluded:
         return True
     if now < job.resting.get(view.incarnation, now):
         return True
-    return bool(job.suspect) and view.reads_suspect
+    return bool(job.suspect) and view.has_suspect_in_prefill
--- a/packages/dispatch/src/tallyhall_dispatch/pool.py
+++ b/packages/dispatch/src/tallyhall_dispatch/pool.py
@@ -1,12 +1,12 @@
 """The queue of one service.
 
-Jobs wait here, not at the upstreams, which know no priorities: a job is
-granted to an upstream only when one of its places is free.
+Jobs are queued here and not at the upstreams, which have no priorities: a job
+is granted to an upstream only when one of its slots is free.
 
-A place goes to the most urgent job that it can still serve in time, for
-which the time to read the prompt there counts; jobs that cannot be in time
-anywhere use what is left over. A job for which the places that become free
-do not suffice is given up at once instead of after a vain wait.
+A slot is granted to the most urgent job that can still meet its deadline there,
+including the time for its prefill. Jobs that cannot meet their deadlines on any
+upstream use idle slots. A job that will not get a slot in time at the current
+rate is rejected immediately instead of after a futile wait.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 import msgspec
 
 from .desired import Upstream
-from .engines import EngineView
+from .engines import UpstreamState
 from .forecast import Forecast
 from .group import UpstreamGroup
 from .jobs import BROKEN_OFF, Ending, Job, RunReport
-from .placing import Placing
-from .refusing import GivenUp, Refusing
+from .placing import UpstreamSelector
+from .refusing import GivenUp, RejectionPolicy
 from .shares import GrantRates, ServedShares
 from .switches import ALL_ON, Switches
 from .waiting import WaitingJobs
@@ -32,31 +32,32 @@
 if TYPE_CHECKING:
     from .rollout import Rollout
 
-# Part of all places that must be free for a job above its quota: what arrives
-# within the next tenth of a second finds a place without waiting.
-_SPARE_FREE_PART = 0.25
-# The same for a late job, which holds a place for as long as one in time and is
-# worth a part of it: what arrives meanwhile should not wait for its end. With
-# it the worst two seconds of eight loaded days rose from 0.335 to 0.354.
-_LATE_FREE_PART = 0.08
-# Waiting jobs are looked through for late ones this often, in seconds; a
-# fortieth of the shortest objective.
-_SWEEP_S = 0.02
-# The same for up to so many jobs, and less often in proportion with more: a
-# look at one takes 3 us, so sweeps stay under 2% of a core.
-_SWEPT_OFTEN = 100
-# A suspect waits so long after a run of its like that broke off, in seconds:
-# whether that was the end of its upstream is known everywhere within a tenth.
-_VERDICT_S = 0.1
-# Jobs of one urgency that are tried on the free places at a time; each try
-# looks at all upstreams.
-_TRIED = 12
+# Part of all slots that must be free to start a job that exceeds its quota.
+# Jobs that arrive within the next 0.1 s then get a slot without waiting.
+_MIN_FREE_OVER_QUOTA = 0.25
+# The same for a late job. It occupies a slot for as long as a job in time but
+# has only a part of its value, so jobs that arrive meanwhile should not have to
+# wait for its end. This improved the score of the worst two seconds in eight
+# days under load from 0.335 to 0.354.
+_MIN_FREE_LATE = 0.08
+# Interval of the sweeps that search the queue for late jobs, in seconds. A
+# fortieth of the shortest latency objective.
+_SWEEP_INTERVAL_S = 0.02
+# Queue length above which the sweep interval grows in proportion. Checking a
+# job takes 3 us, so sweeps use less than 2% of a core.
+_SWEEP_BASE_JOBS = 100
+# Seconds that a suspect waits after a trial of the same content was
+# interrupted. All instances know within 0.1 s whether its upstream terminated.
+_TRIAL_OUTCOME_S = 0.1
+# Maximum number of jobs per urgency to match with the free slots in one pass.
+# Each match reads the state of all upstreams.
+_MAX_CANDIDATES = 12
 
 
 class Granted(msgspec.Struct, frozen=True):
-    """A job may be sent to this upstream, once.
+    """A job may be sent to this upstream once.
 
-    forecast_s: time that is expected until the first event from there.
+    forecast_s: expected time to the first event.
     """
 
     key: str
@@ -68,7 +69,7 @@
 
 
 class ServicePool:
-    """Waiting and running jobs of one service."""
+    """The queued and running jobs of one service."""
 
     def __init__(
         self,
@@ -77,24 +78,28 @@
         rng: random.Random,
         switches: Switches = ALL_ON,
     ) -> None:
-        """Start without upstreams and jobs."""
+        """Create a pool without upstreams or jobs."""
         self.service = service
-        # Set while this instance leads a roll-out of the service.
+        # Set while this instance leads a rollout of the service.
         self.rollout: Rollout | None = None
         self._event_tokens = event_tokens
         self._switches = switches
         self._group = UpstreamGroup(switches, rng)
         self._waiting = WaitingJobs()
-        # Where each job that was granted runs.
-        self._places: dict[str, EngineView] = {}
+        # The upstream on which each granted job runs, by job key.
+        self._granted: dict[str, UpstreamState] = {}
         self._shares = ServedShares()
         self._rates = GrantRates()
-        self._placing = Placing(self._group, event_tokens, rng, switches)
-        self._refusing = Refusing(self._group, self._rates, rng, switches)
-        # Until when what came of a run of each suspect is not known.
-        self._unjudged: dict[str, float] = {}
-        self._unseen: list[str] = []
-        self._swept_at: float = 0
+        self._selector = UpstreamSelector(
+            self._group, event_tokens, rng, switches
+        )
+        self._rejection_policy = RejectionPolicy(
+            self._group, self._rates, rng, switches
+        )
+        # Until when the outcome of the last trial is unknown, by suspect.
+        self._pending_trials: dict[str, float] = {}
+        self._unchecked: list[str] = []
+        self._last_sweep_at: float = 0
 
     @property
     def is_model(self) -> bool:
@@ -102,121 +107,124 @@
         return self._event_tokens > 0
 
     @property
-    def views(self) -> Mapping[str, EngineView]:
-        """Return what is known of each upstream, by incarnation."""
+    def views(self) -> Mapping[str, UpstreamState]:
+        """Return the state of each upstream, by incarnation."""
         return self._group.views
 
     @property
     def upstreams(self) -> UpstreamGroup:
-        """Return the upstreams, with what binds all of them."""
+        """Return the group of upstreams of the service."""
         return self._group
 
     @property
     def waiting(self) -> int:
-        """Return how many jobs wait."""
+        """Return the number of queued jobs."""
         return len(self._waiting)
 
     @property
     def places(self) -> int:
-        """Return how many places the upstreams have that stay."""
-        return self._group.places
+        """Return the number of slots of the active upstreams."""
+        return self._group.slots
 
     @property
     def canary_places(self) -> int:
-        """Return how many places the upstreams on trial have."""
-        return self._group.canary_places()
+        """Return the number of slots of the canary upstreams."""
+        return self._group.canary_slots()
 
     def opens_in_s(self, resting: Mapping[str, float], now: float) -> float:
-        """Return how long all upstreams rest, 0 if one does not."""
-        return self._group.opens_in_s(resting, now)
+        """Return the seconds until the first active upstream ends its backoff.
+
+        The result is 0 if any active upstream is not backing off.
+        """
+        return self._group.backoff_ends_in_s(resting, now)
 
     def take_share(self, share: float) -> None:
-        """Fill at most this part of the places."""
+        """Set the share of all slots that this instance may fill."""
         self._group.share = share
 
     def set_upstreams(self, upstreams: Iterable[Upstream]) -> None:
-        """Take the upstreams of this service as they stand now."""
-        self._group.take(upstreams)
+        """Replace the list of registered upstreams of the service."""
+        self._group.set_upstreams(upstreams)
 
     def misplaced(self, incarnation: str) -> None:
-        """Forget an upstream whose address another one has."""
-        self._group.misplaced(incarnation)
+        """Ignore an upstream whose address now belongs to another one."""
+        self._group.ignore(incarnation)
 
     def ask(self, job: Job) -> None:
-        """Queue a job."""
+        """Add a job to the queue."""
         self._waiting.add(job)
-        self._unseen.append(job.key)
+        self._unchecked.append(job.key)
 
     def withdraw(self, key: str) -> None:
-        """Forget a waiting job."""
+        """Remove a job from the queue."""
         self._waiting.remove(key)
 
     def first_byte(self, key: str) -> None:
-        """Take that a job's answer has begun."""
-        view = self._places.get(key)
+        """Record that the response of a job has started."""
+        view = self._granted.get(key)
         if view is not None:
             view.first_byte(key)
 
     def finish(self, key: str, report: RunReport, now: float) -> None:
-        """Take that a granted job no longer runs."""
-        view = self._places.pop(key, None)
+        """Record that a granted job has ended."""
+        view = self._granted.pop(key, None)
         if view is None:
             return
         run = view.runs.get(key)
         if run is not None:
-            self._note_ending(run.job, report, now)
-            self._tell_rollout(run.job, view, report, now)
+            self._record_outcome(run.job, report, now)
+            self._report_to_rollout(run.job, view, report, now)
         view.finish(key, report, now)
 
     def note_running(self, job: Job, incarnation: str) -> None:
-        """Take that a job runs that was not granted here."""
+        """Record a running job that was granted by another instance."""
         view = self.views.get(incarnation)
-        if view is not None and job.key not in self._places:
+        if view is not None and job.key not in self._granted:
             view.grant(job)
-            self._places[job.key] = view
+            self._granted[job.key] = view
 
     def drop_jobs(self, prefix: str) -> None:
-        """Forget all jobs whose key has this prefix."""
-        self._waiting.remove_all(prefix)
-        for running in tuple(self._places):
+        """Remove all jobs whose key has this prefix."""
+        self._waiting.remove_prefix(prefix)
+        for running in tuple(self._granted):
             if running.startswith(prefix):
-                self._places.pop(running).drop(running)
+                self._granted.pop(running).drop(running)
 
     def decide(self, now: float) -> list[Decision]:
-        """Grant what can be granted, give up what has become too late."""
+        """Grant free slots to jobs and reject jobs that are too late."""
         decisions: list[Decision] = []
         if not self._waiting:
-            self._unseen.clear()
+            self._unchecked.clear()
             return decisions
         forecast = self._group.forecast(now)
         for grant in self._grants(forecast):
             decisions.append(grant)
             self._waiting.remove(grant.key)
-        for job, ahead in self._to_look_at(forecast):
-            given_up = self._refusing.judge(job, ahead, forecast)
-            if given_up is None:
+        for job, ahead in self._jobs_to_check(forecast):
+            rejection = self._rejection_policy.evaluate(job, ahead, forecast)
+            if rejection is None:
                 continue
             self._waiting.remove(job.key)
             if not job.spare:
                 self._shares.note(job.urgency, served=False)
-            decisions.append(given_up)
+            decisions.append(rejection)
         return decisions
 
     # -- suspects
 
-    def _note_ending(self, job: Job, report: RunReport, now: float) -> None:
+    def _record_outcome(self, job: Job, report: RunReport, now: float) -> None:
         if report.ending is Ending.answered:
-            self._placing.answered(job, report.events)
+            self._selector.answered(job, report.events)
         elif job.suspect and report.ending in BROKEN_OFF:
-            self._unjudged = {
+            self._pending_trials = {
                 suspect: until
-                for suspect, until in self._unjudged.items()
+                for suspect, until in self._pending_trials.items()
                 if now < until
             }
-            self._unjudged[job.suspect] = now + _VERDICT_S
+            self._pending_trials[job.suspect] = now + _TRIAL_OUTCOME_S
 
-    def _is_tried(self, suspect: str, now: float) -> bool:
-        if now < self._unjudged.get(suspect, 0):
+    def _is_on_trial(self, suspect: str, now: float) -> bool:
+        if now < self._pending_trials.get(suspect, 0):
             return True
         return any(
             run.reading and run.job.suspect == suspect
@@ -224,13 +232,13 @@
             for run in view.runs.values()
         )
 
-    # -- places
+    # -- grants
 
     def _grants(self, forecast: Forecast) -> Iterator[Granted]:
-        """Yield what the free places allow, in the order of the queue.
+        """Grant the free slots in the order of the queue.
 
-        Jobs in time come first, by the rank of their urgency (see
-        `ServedShares`) and then by the time at which they are due.
+        Jobs that can meet their deadlines come first, ordered by the rank of
+        their urgency (see `ServedShares`) and then by deadline.
         """
         now = forecast.now
         free = self._group.free(now)
@@ -239,26 +247,29 @@
         if not free:
             return
         for job in self._candidates(forecast):
-            view = self._choice(job, free, forecast)
+            view = self._select(job, free, forecast)
             if view is None:
                 continue
             forecast_s = view.first_s(job)
-            self._take_place(job, view, now)
+            self._start(job, view, now)
             yield Granted(job.key, view.upstream, forecast_s)
-            if not self._group.has_place(view, now):
+            if not self._group.has_slot(view, now):
                 free.remove(view)
             if not free:
                 return
 
-    def _choice(
+    def _select(
         self,
         job: Job,
-        free: list[EngineView],
+        free: list[UpstreamState],
         forecast: Forecast,
-    ) -> EngineView | None:
-        """Return the place for a job; on trial only what the roll-out lets."""
+    ) -> UpstreamState | None:
+        """Return the upstream for a job, None if it has to wait.
+
+        A canary is selected only if the rollout allows it for this job.
+        """
         if self.rollout is None:
-            return self._placing.best(job, free, forecast)
+            return self._selector.best(job, free, forecast)
         now = forecast.now
         if self.rollout.may_expose(job, now):
             for canary in free:
@@ -266,12 +277,12 @@
                 if canary.upstream.canary and not rests:
                     return canary
         in_use = [view for view in free if not view.upstream.canary]
-        return self._placing.best(job, in_use, forecast)
+        return self._selector.best(job, in_use, forecast)
 
-    def _tell_rollout(
+    def _report_to_rollout(
         self,
         job: Job,
-        view: EngineView,
+        view: UpstreamState,
         report: RunReport,
         now: float,
     ) -> None:
@@ -285,45 +296,47 @@
             )
 
     def _candidates(self, forecast: Forecast) -> Iterator[Job]:
-        """Yield the jobs that are next; those that can be in time come first.
+        """Yield the next jobs, first those that can meet their deadlines.
 
-        Places are taken meanwhile, so what is free is counted for each job.
+        Slots are granted between iterations, so free slots are counted again
+        for each job.
         """
         waiting = self._waiting
-        waiting.set_late_aside(
-            lambda job: not forecast.may_be_in_time(job, forecast.now),
+        waiting.defer_late(
+            lambda job: not forecast.can_meet_deadline(job, forecast.now),
         )
         for late in (False, True):
             for job in self._in_order(late=late):
-                if self._may_take_place(job, forecast.now, late=late):
+                if self._may_start(job, forecast.now, late=late):
                     yield job
 
     def _in_order(self, *, late: bool) -> Iterator[Job]:
-        """Yield the first jobs of each urgency, in the order of ranks."""
+        """Yield the first jobs of each urgency, in the order of its rank."""
         for urgency in self._ranked(self._waiting.urgencies(late=late)):
-            yield from self._waiting.first(urgency, _TRIED, late=late)
+            yield from self._waiting.first(urgency, _MAX_CANDIDATES, late=late)
 
     def _ranked(self, urgencies: list[int]) -> list[int]:
         if not self._switches.served_shares:
             return sorted(urgencies)
         return sorted(urgencies, key=self._shares.rank)
 
-    def _may_take_place(self, job: Job, now: float, *, late: bool) -> bool:
-        """Return whether enough places are free for a job of this kind.
+    def _may_start(self, job: Job, now: float, *, late: bool) -> bool:
+        """Return whether enough slots are free for a job of this kind.
 
-        A suspect waits for its like, which may end another upstream.
+        A suspect waits while a job with the same content is on trial, because
+        it might terminate another upstream.
         """
-        if job.suspect and self._is_tried(job.suspect, now):
+        if job.suspect and self._is_on_trial(job.suspect, now):
             return False
         if job.spare:
-            return self._group.has_free(_SPARE_FREE_PART, now)
+            return self._group.has_free_share(_MIN_FREE_OVER_QUOTA, now)
         if late and self._switches.late_places:
-            return self._group.has_free(_LATE_FREE_PART, now)
+            return self._group.has_free_share(_MIN_FREE_LATE, now)
         return True
 
-    def _take_place(self, job: Job, view: EngineView, now: float) -> None:
+    def _start(self, job: Job, view: UpstreamState, now: float) -> None:
         view.grant(job)
-        self._places[job.key] = view
+        self._granted[job.key] = view
         if self.rollout is not None:
             self.rollout.placed(job, canary=view.upstream.canary)
         if job.spare:
@@ -332,52 +345,53 @@
         in_time = now + view.first_s(job) <= job.due_at
         self._shares.note(job.urgency, served=in_time)
 
-    # -- giving up
+    # -- rejections
 
-    def _to_look_at(self, forecast: Forecast) -> Iterator[tuple[Job, int]]:
-        """Yield the jobs that may have to be given up now.
+    def _jobs_to_check(self, forecast: Forecast) -> Iterator[tuple[Job, int]]:
+        """Yield the jobs to check for rejection.
 
-        With each comes how many of its urgency are ahead of it. New ones are
-        looked at at once, all of them every `_SWEEP_S`.
+        Each job comes with the number of jobs of its urgency ahead of it. New
+        jobs are checked immediately, all jobs in a sweep every
+        `_SWEEP_INTERVAL_S`.
         """
-        unseen = self._unseen
-        self._unseen = []
-        often = max(1, len(self._waiting) / _SWEPT_OFTEN)
-        if forecast.now - self._swept_at >= _SWEEP_S * often:
+        unchecked = self._unchecked
+        self._unchecked = []
+        factor = max(1, len(self._waiting) / _SWEEP_BASE_JOBS)
+        if forecast.now - self._last_sweep_at >= _SWEEP_INTERVAL_S * factor:
             yield from self._sweep(forecast)
             return
-        for key in unseen:
+        for key in unchecked:
             job = self._waiting.get(key)
             if job is not None:
-                yield job, self._ahead_of(job, forecast)
+                yield job, self._count_ahead(job, forecast)
 
     def _sweep(self, forecast: Forecast) -> Iterator[tuple[Job, int]]:
-        self._swept_at = forecast.now
+        self._last_sweep_at = forecast.now
         in_time = {
             job.key
             for job in self._waiting.all()
-            if forecast.may_be_in_time(job, forecast.now)
+            if forecast.can_meet_deadline(job, forecast.now)
         }
-        self._refusing.in_time = len(in_time)
+        self._rejection_policy.in_time_count = len(in_time)
         ahead: collections.Counter[int] = collections.Counter()
         for job in sorted(self._waiting.all(), key=_due_at):
             yield job, ahead[job.urgency]
-            # Late ones take what is left over, so nobody waits behind them.
+            # Late jobs only use idle slots, so no job waits behind them.
             if job.key in in_time or not self._switches.late_aside:
                 ahead[job.urgency] += self._waiting.get(job.key) is not None
 
-    def _ahead_of(self, job: Job, forecast: Forecast) -> int:
+    def _count_ahead(self, job: Job, forecast: Forecast) -> int:
         return sum(
             other.urgency == job.urgency
             and other.due_at < job.due_at
-            and self._is_waited_for(other, forecast)
+            and self._counts_as_ahead(other, forecast)
             for other in self._waiting.all()
         )
 
-    def _is_waited_for(self, job: Job, forecast: Forecast) -> bool:
+    def _counts_as_ahead(self, job: Job, forecast: Forecast) -> bool:
         if not self._switches.late_aside:
             return True
-        return forecast.may_be_in_time(job, forecast.now)
+        return forecast.can_meet_deadline(job, forecast.now)
 
 
 def _due_at(job: Job) -> float:
--- a/packages/dispatch/src/tallyhall_dispatch/refusing.py
+++ b/packages/dispatch/src/tallyhall_dispatch/refusing.py
@@ -1,8 +1,8 @@
-"""Which waiting jobs are given up, and when their callers may return.
+"""Early rejection of queued jobs, and the retry delay for their callers.
 
-Under load a job that cannot be in time is given up at once: the place that it
-would take serves another job in time, and its caller learns early that it
-should come back.
+Under load, a job that cannot meet its deadline is rejected immediately. The
+slot that it would use serves another job in time, and its caller learns early
+that it should retry.
 """
 
 from __future__ import annotations
@@ -17,30 +17,32 @@
 from .shares import GrantRates
 from .switches import Switches
 
-# What a refused caller is told to wait, in seconds: at least, at most, and at
-# least where it will be late whenever it comes back. Spread between the last
-# two, the price of refusing it again fell from 0.015 to 0.014.
-_LEAST_RETRY_S = 0.25
-_LONGEST_RETRY_S = 3.0
-_LATE_RETRY_S = 1.0
-# A job is given up this long before an upstream could no longer answer it, in
-# seconds: two looks at the queue.
-_GIVE_UP_MARGIN_S = 0.05
-# Jobs that can be in time and wait, from which on a late job is given up:
-# fewer are the ordinary jitter of arrivals.
-_IN_TIME_MANY = 3
-# Places in a second that are taken for granted at least, unless there are less.
-_LEAST_RATE = 0.5
-# Nobody is told to wait longer for the turn that a named limit leaves, in
-# seconds: the limit will have changed.
-_LONGEST_TURN_S = 30.0
+# Bounds for the retry delay of a rejected caller, in seconds: the minimum, the
+# maximum, and the minimum for a caller that will be late at any retry.
+# Spreading the latter between the last two bounds reduced the cost of rejecting
+# it again from 0.015 to 0.014.
+_MIN_RETRY_S = 0.25
+_MAX_RETRY_S = 3.0
+_MIN_LATE_RETRY_S = 1.0
+# A job is rejected this many seconds before the time at which no upstream could
+# respond in time any more. It covers two sweeps of the queue.
+_REJECTION_MARGIN_S = 0.05
+# Number of queued jobs that can meet their deadlines from which on late jobs
+# are rejected. Fewer occur in the normal jitter of arrivals.
+_IN_TIME_THRESHOLD = 3
+# Lower bound for the slots per second available to a job, unless the forecast
+# is lower.
+_MIN_RATE = 0.5
+# Maximum retry delay caused by a rate limit of the upstreams, in seconds. The
+# limit is likely to change within this time.
+_MAX_LIMIT_RETRY_S = 30.0
 
 
 class Outlook(msgspec.Struct, frozen=True):
-    """What was foreseen of a job's wait.
+    """The forecast on which the rejection of a job was based.
 
-    ahead: jobs that are served before it. rate: places that become free in a
-    second. free: places that were free.
+    ahead: number of jobs served before it. wait_s: expected wait. rate: slots
+    that become free per second. free: number of free slots.
     """
 
     ahead: int = 0
@@ -50,15 +52,15 @@
 
 
 class GivenUp(msgspec.Struct, frozen=True):
-    """A job cannot be answered in time; it was not sent."""
+    """A job was rejected without being sent, as it cannot meet its deadline."""
 
     key: str
     retry_after_s: float
     outlook: Outlook = Outlook()
 
 
-class Refusing:
-    """Gives up jobs of one service."""
+class RejectionPolicy:
+    """Decides which queued jobs of a service are rejected."""
 
     def __init__(
         self,
@@ -67,28 +69,31 @@
         rng: random.Random,
         switches: Switches,
     ) -> None:
-        """Judge by these upstreams and by what each urgency is granted."""
-        # Waiting jobs that could be in time, at the last sweep.
-        self.in_time = 0
+        """Use these upstreams and the grant rates of the urgencies."""
+        # Number of queued jobs that could meet their deadlines in the last
+        # sweep.
+        self.in_time_count = 0
         self._group = group
         self._rates = rates
         self._rng = rng
         self._switches = switches
 
-    def judge(self, job: Job, ahead: int, forecast: Forecast) -> GivenUp | None:
-        """Return why a job must not wait on, or None if it may.
+    def evaluate(
+        self, job: Job, ahead: int, forecast: Forecast
+    ) -> GivenUp | None:
+        """Return the rejection of a job, or None if it may stay in the queue.
 
-        ahead: how many of its urgency are served before it.
+        ahead: number of jobs of the same urgency that are served before it.
         """
         if not self._group.may_serve(job):
-            return GivenUp(job.key, _LEAST_RETRY_S)
-        rest_s = self._group.opens_in_s(job.resting, forecast.now)
-        if rest_s:
-            # Nobody would take it if it came back sooner.
-            return GivenUp(job.key, max(_LEAST_RETRY_S, rest_s))
+            return GivenUp(job.key, _MIN_RETRY_S)
+        backoff_s = self._group.backoff_ends_in_s(job.resting, forecast.now)
+        if backoff_s:
+            # No upstream would accept an earlier retry.
+            return GivenUp(job.key, max(_MIN_RETRY_S, backoff_s))
         forecast = self._group.forecast_for(job, forecast)
         wait_s = self._wait_s(job.urgency, ahead, forecast)
-        if self._must_go(job, wait_s, forecast):
+        if self._is_rejected(job, wait_s, forecast):
             return GivenUp(
                 job.key,
                 self._retry_s(job, wait_s, forecast.now),
@@ -96,48 +101,49 @@
                     ahead,
                     wait_s,
                     forecast.rate,
-                    self._group.free_places(forecast.now),
+                    self._group.free_slots(forecast.now),
                 ),
             )
         return None
 
-    def _must_go(self, job: Job, wait_s: float, forecast: Forecast) -> bool:
-        if job.spare or forecast.now >= job.give_up_at - _GIVE_UP_MARGIN_S:
+    def _is_rejected(self, job: Job, wait_s: float, forecast: Forecast) -> bool:
+        if job.spare or forecast.now >= job.give_up_at - _REJECTION_MARGIN_S:
             return True
         if not self._switches.early_refusals:
             return False
         starts_at = forecast.now + wait_s
-        if forecast.may_be_in_time(job, starts_at):
+        if forecast.can_meet_deadline(job, starts_at):
             return False
-        hopeless = starts_at > job.give_up_at
-        return hopeless or self.in_time >= _IN_TIME_MANY
+        is_unserveable = starts_at > job.give_up_at
+        return is_unserveable or self.in_time_count >= _IN_TIME_THRESHOLD
 
     def _retry_s(self, job: Job, wait_s: float, now: float) -> float:
-        """Return after how long the caller should come back.
+        """Return the retry delay for the caller.
 
-        Who will be late whenever it comes back comes when there is less to
-        do, and not all of them at once.
+        Callers that will be late at any retry get a longer delay, so that they
+        return after the load peak, with jitter, so that they do not return all
+        at once.
         """
-        retry_s = min(_LONGEST_RETRY_S, max(_LEAST_RETRY_S, 2 * wait_s))
-        if self._group.is_bound:
-            turn_s = max(wait_s, self._group.limits_open_in_s(now))
-            retry_s = max(retry_s, min(_LONGEST_TURN_S, turn_s))
-        will_be_late = now + _LEAST_RETRY_S > job.due_at
+        retry_s = min(_MAX_RETRY_S, max(_MIN_RETRY_S, 2 * wait_s))
+        if self._group.all_limited:
+            limit_wait_s = max(wait_s, self._group.next_token_in_s(now))
+            retry_s = max(retry_s, min(_MAX_LIMIT_RETRY_S, limit_wait_s))
+        will_be_late = now + _MIN_RETRY_S > job.due_at
         if not will_be_late or not self._switches.late_returns:
             return retry_s
-        longer_s = self._rng.uniform(_LATE_RETRY_S, _LONGEST_RETRY_S)
-        return max(retry_s, longer_s)
+        late_retry_s = self._rng.uniform(_MIN_LATE_RETRY_S, _MAX_RETRY_S)
+        return max(retry_s, late_retry_s)
 
     def _wait_s(self, urgency: int, ahead: int, forecast: Forecast) -> float:
-        """Return the forecast wait behind so many, 0 where nothing is known.
+        """Return the expected wait behind `ahead` jobs, 0 if unknown.
 
-        What is granted to more urgent jobs is not there for this one; what
-        its own urgency was granted in the last second goes on.
+        Slots granted to more urgent jobs are not available to this one. Its own
+        urgency is expected to get at least as many slots as in the last second.
         """
         if not forecast.rate:
             return 0
         others = self._rates.above(urgency, forecast.now)
         own = self._rates.per_s(urgency, forecast.now)
-        least = min(_LEAST_RATE, forecast.rate)
-        rate = max(own, forecast.rate - others, least)
+        min_rate = min(_MIN_RATE, forecast.rate)
+        rate = max(own, forecast.rate - others, min_rate)
         return (ahead + 1) / rate
--- a/packages/dispatch/src/tallyhall_dispatch/rests.py
+++ b/packages/dispatch/src/tallyhall_dispatch/rests.py
@@ -1,7 +1,7 @@
-"""Upstreams that asked an instance for rest, and until when.
+"""Backoff periods that upstreams requested from this instance.
 
-A rest binds the instance that was asked. Whoever places its requests is told
-with each of them where it must not send them.
+A backoff applies only to the instance that received it. The instance that
+schedules its requests is told with each request which upstreams to avoid.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 
 
 class Rests:
-    """The rests that one instance was asked for; times in seconds."""
+    """The backoff periods of one instance; times in seconds."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty collection."""
         self._until: dict[str, float] = {}
 
     def ask(self, incarnation: str, rest_s: float, now: float) -> None:
-        """Take that an upstream wants nothing for so long."""
+        """Record that an upstream requested a backoff of `rest_s`."""
         known = self._until.get(incarnation, now)
         self._until[incarnation] = max(known, now + rest_s)
 
     def rests(self, incarnation: str, now: float) -> bool:
-        """Return whether an upstream must get nothing now."""
+        """Return whether nothing must be sent to an upstream now."""
         return now < self._until.get(incarnation, now)
 
     def current(self, now: float) -> Mapping[str, float]:
-        """Return the upstreams that rest, each with the end of its rest."""
+        """Return the upstreams in backoff and when each backoff ends."""
         if not self._until:
             return {}
         self._until = {
--- a/packages/dispatch/src/tallyhall_dispatch/retries.py
+++ b/packages/dispatch/src/tallyhall_dispatch/retries.py
@@ -1,8 +1,8 @@
-"""The retry budget of a service, kept by each instance alone.
+"""The retry budget of a service, enforced by each instance on its own.
 
-The budget over all instances is a share of the requests plus a fixed
-allowance. Each instance spends the share of its own requests and an equal
-part of the allowance, so the sum stays within the budget without messages.
+The budget of all instances together is a share of the requests plus a fixed
+allowance. Each instance uses the share of its own requests and an equal part of
+the allowance, so the total stays within the budget without coordination.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 
 
 class RetryLimits(msgspec.Struct, frozen=True):
-    """ratio: further sends for each request; allowance: sends for free."""
+    """ratio: retries per request. allowance: retries beyond the ratio."""
 
     ratio: float
     allowance: float
     window_s: float
 
 
-# A part of the allowance stays unspent: instances that join or restart
-# within a window hold an equal part of it as well.
-_ALLOWANCE_SPENT = 0.6
+# Used part of the allowance. The rest is a reserve, because instances that join
+# or restart within a window use an equal part of it as well.
+_ALLOWANCE_PART = 0.6
 
 
 class RetryBudget:
-    """Counts first and further sends to one service."""
+    """Counts the requests to one service and their retries."""
 
     def __init__(self, limits: RetryLimits) -> None:
-        """Start with nothing counted."""
+        """Create a budget with no requests counted."""
         self._limits = limits
         self._requests = SlidingSum(limits.window_s)
-        self._repeats = SlidingSum(limits.window_s)
+        self._retries = SlidingSum(limits.window_s)
 
     def request(self, now: float) -> None:
-        """Count a request of a caller."""
+        """Count a request from a caller."""
         self._requests.add(1, now)
 
     def take(self, now: float, instances: int) -> bool:
-        """Spend one further send; return whether the budget allows it."""
-        share = self._limits.allowance * _ALLOWANCE_SPENT / max(1, instances)
+        """Count one retry if the budget allows it; return whether it does."""
+        share = self._limits.allowance * _ALLOWANCE_PART / max(1, instances)
         allowed = self._limits.ratio * self._requests.total(now) + share
-        if self._repeats.total(now) + 1 > allowed:
+        if self._retries.total(now) + 1 > allowed:
             return False
-        self._repeats.add(1, now)
+        self._retries.add(1, now)
         return True
--- a/packages/dispatch/src/tallyhall_dispatch/routing.py
+++ b/packages/dispatch/src/tallyhall_dispatch/routing.py
@@ -1,7 +1,7 @@
-"""From host, path and API key to a route and a workspace.
+"""Maps a host and path to a route and an API key to a workspace.
 
-A route is found by one look-up for each slash in the path, longest first,
-so that hundreds of routes cost no more than a few.
+A route is found with one dictionary lookup per slash in the path, longest
+prefix first, so the cost does not depend on the number of routes.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
     """Finds routes and workspaces in one version of the desired state."""
 
     def __init__(self, state: DesiredState) -> None:
-        """Index the routes of this version."""
+        """Build the index of the routes."""
         self.state = state
         self._routes = {
             (route.host, route.prefix): route for route in state.routes
@@ -32,12 +32,12 @@
         return None
 
     def workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that holds this API key."""
+        """Return the workspace that owns this API key."""
         return self.state.keys.get(key)
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Return one of the route's services, drawn by weight."""
+    """Return a service of the route, selected randomly by weight."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
--- a/packages/dispatch/src/tallyhall_dispatch/switches.py
+++ b/packages/dispatch/src/tallyhall_dispatch/switches.py
@@ -1,7 +1,7 @@
-"""Which mechanisms of the decisions are on.
+"""Feature switches of the scheduling mechanisms.
 
-All are, on every instance. Experiments and tests switch one off to see what it
-is worth; operators cannot.
+All mechanisms are enabled on every instance. Experiments and tests disable one
+to measure its effect; there is no setting for operators.
 """
 
 from __future__ import annotations
@@ -10,19 +10,21 @@
 
 
 class Switches(msgspec.Struct, frozen=True):
-    """The mechanisms, by what callers get of each.
-
-    aside: an upstream that fails several times in a row is left out for a
-    while. early_refusals: a job whose wait is foreseen to be too long is
-    refused at once. first_tries: a job is due by its caller's first try.
-    forecasts: a job takes no place on which its first event would be late.
-    late_aside: nobody waits behind jobs that cannot be in time.
-    late_places: such jobs leave some places free. late_returns: callers that
-    will be late at any return come later, spread. lengths: the length of
-    answers is learned. pauses: a stream waits for an upstream that keeps its
-    pace. served_shares: urgencies take turns by what was served of each.
-    silence: an answer that does not begin is taken as lost. speeds: the
-    upstream is chosen that is done first, not the one with most free places.
+    """Which mechanisms are enabled.
+
+    aside: an upstream is ejected for a while after consecutive failures.
+    early_refusals: a job whose expected wait is too long is rejected
+    immediately. first_tries: the deadline of a job counts from the first
+    attempt of its caller. forecasts: a job does not start on an upstream on
+    which its first event would be late. late_aside: no job waits behind jobs
+    that cannot meet their deadlines. late_places: late jobs leave some slots
+    free. late_returns: callers that will be late at any retry get a longer,
+    jittered retry delay. lengths: response lengths are estimated from earlier
+    responses. pauses: a stream waits for an upstream that meets its pause
+    limit. served_shares: urgencies are ranked by the share of each that was
+    served. silence: a response that does not start is considered lost. speeds:
+    the upstream with the earliest expected completion is selected, instead of
+    the one with the most free slots.
     """
 
     aside: bool = True
--- a/packages/dispatch/src/tallyhall_dispatch/waiting.py
+++ b/packages/dispatch/src/tallyhall_dispatch/waiting.py
@@ -1,9 +1,10 @@
-"""The waiting jobs of one service, in the order in which they are due.
+"""The queued jobs of one service, ordered by deadline.
 
-A saturated owner of a large fleet holds some hundred jobs and sees a place
-become free a thousand times a second, so the next ones must be found without
-a look at all: one heap an urgency, and one for those that are too late or
-above their quota. A job that was removed is skipped when it comes up.
+In a large fleet, a saturated owner has some hundred queued jobs and a thousand
+slots that become free per second, so the next jobs must be found without a scan
+of the queue. There are two heaps per urgency: one for jobs that can be in time,
+and one for jobs that are late or exceed their quota. Removed jobs are skipped
+when they reach the top of a heap.
 """
 
 from __future__ import annotations
@@ -14,50 +15,50 @@
 
 from .jobs import Job
 
-# Time at which a job is due, a number that settles ties, its key.
+# Deadline of a job, serial number as a tie breaker, and key of the job.
 _Entry = tuple[float, int, str]
 
 
 class WaitingJobs:
-    """Jobs by urgency; late ones and those above their quota apart."""
+    """Queued jobs by urgency, with late and over-quota jobs kept apart."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._jobs: dict[str, Job] = {}
         self._in_time: dict[int, list[_Entry]] = {}
-        self._behind: dict[int, list[_Entry]] = {}
+        self._deferred: dict[int, list[_Entry]] = {}
         self._serial = itertools.count()
 
     def __len__(self) -> int:
-        """Return how many jobs wait."""
+        """Return the number of queued jobs."""
         return len(self._jobs)
 
     def all(self) -> Iterable[Job]:
-        """Return all waiting jobs."""
+        """Return all queued jobs."""
         return tuple(self._jobs.values())
 
     def get(self, key: str) -> Job | None:
-        """Return a waiting job."""
+        """Return a queued job, None if there is none with this key."""
         return self._jobs.get(key)
 
     def add(self, job: Job) -> None:
         """Add a job."""
         self._jobs[job.key] = job
-        heaps = self._behind if job.spare else self._in_time
+        heaps = self._deferred if job.spare else self._in_time
         self._push(heaps, job)
 
     def remove(self, key: str) -> None:
-        """Remove a job if it waits."""
+        """Remove a job if it is queued."""
         self._jobs.pop(key, None)
 
-    def remove_all(self, prefix: str) -> None:
+    def remove_prefix(self, prefix: str) -> None:
         """Remove the jobs whose key has this prefix."""
         for key in tuple(self._jobs):
             if key.startswith(prefix):
                 self._jobs.pop(key)
 
-    def set_late_aside(self, is_late: Callable[[Job], bool]) -> None:
-        """Put the jobs at the front that are late behind all others."""
+    def defer_late(self, is_late: Callable[[Job], bool]) -> None:
+        """Move late jobs from the front of the queue behind all others."""
         for heap in self._in_time.values():
             while heap:
                 job = self._jobs.get(heap[0][-1])
@@ -65,27 +66,30 @@
                     break
                 heapq.heappop(heap)
                 if job is not None:
-                    self._push(self._behind, job)
+                    self._push(self._deferred, job)
 
     def urgencies(self, *, late: bool) -> list[int]:
-        """Return the urgencies of which jobs wait."""
-        heaps = self._behind if late else self._in_time
+        """Return the urgencies with non-empty heaps."""
+        heaps = self._deferred if late else self._in_time
         return [urgency for urgency, heap in heaps.items() if heap]
 
-    def first(self, urgency: int, most: int, *, late: bool) -> Iterator[Job]:
-        """Yield the jobs that are due first; they may be removed meanwhile."""
-        heap = (self._behind if late else self._in_time)[urgency]
-        looked_at: list[_Entry] = []
+    def first(self, urgency: int, limit: int, *, late: bool) -> Iterator[Job]:
+        """Yield up to `limit` jobs with the earliest deadlines.
+
+        Jobs may be removed during the iteration.
+        """
+        heap = (self._deferred if late else self._in_time)[urgency]
+        popped: list[_Entry] = []
         try:
-            while heap and len(looked_at) < most:
+            while heap and len(popped) < limit:
                 entry = heapq.heappop(heap)
                 job = self._jobs.get(entry[-1])
                 if job is None:
                     continue
-                looked_at.append(entry)
+                popped.append(entry)
                 yield job
         finally:
-            for entry in looked_at:
+            for entry in popped:
                 if entry[-1] in self._jobs:
                     heapq.heappush(heap, entry)
 
--- a/packages/dispatch/src/tallyhall_dispatch/windows.py
+++ b/packages/dispatch/src/tallyhall_dispatch/windows.py
@@ -1,4 +1,4 @@
-"""Sums over a sliding window of time, in constant memory."""
+"""Sums over a sliding time window, in bounded memory."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 class SlidingSum:
     """A sum of amounts over the last `window_s` seconds.
 
-    Amounts are kept in buckets of `window_s / parts`; an amount counts for
-    up to one bucket longer than the window, never shorter.
+    Amounts are aggregated in buckets of `window_s / parts` seconds. An amount
+    may count for up to one bucket longer than the window, but never shorter.
     """
 
     def __init__(self, window_s: float, parts: int = 20) -> None:
-        """Start empty."""
+        """Create an empty window."""
         self._window = window_s
         self._bucket = window_s / parts
         self._buckets: collections.deque[tuple[float, float]] = (
@@ -22,43 +22,47 @@
         self._total: float = 0
 
     def add(self, amount: float, now: float, age_s: float = 0) -> None:
-        """Add an amount as of so long ago; one beyond the window is gone."""
+        """Add an amount with the given age.
+
+        An amount that is older than the window is ignored.
+        """
         self._expire(now)
         if age_s >= self._window:
             return
         self._total += amount
         at = now - age_s
-        place = len(self._buckets)
-        while place and self._buckets[place - 1][0] > at:
-            place -= 1
-        if place and at - self._buckets[place - 1][0] < self._bucket:
-            start, held = self._buckets[place - 1]
-            self._buckets[place - 1] = (start, held + amount)
+        index = len(self._buckets)
+        while index and self._buckets[index - 1][0] > at:
+            index -= 1
+        if index and at - self._buckets[index - 1][0] < self._bucket:
+            start, held = self._buckets[index - 1]
+            self._buckets[index - 1] = (start, held + amount)
             return
-        self._buckets.insert(place, (at, amount))
+        self._buckets.insert(index, (at, amount))
 
     def take_back(self, amount: float, added_at: float, now: float) -> None:
-        """Take an amount back where it was added, so that both leave at once.
+        """Subtract an amount from the bucket to which it was added.
 
-        What has left the window stays as it is.
+        Both then leave the window at the same time. Nothing is subtracted if
+        the amount has already left the window.
         """
         self._expire(now)
         if not self._buckets or added_at <= now - self._window:
             return
-        place = len(self._buckets) - 1
-        while place and self._buckets[place][0] > added_at:
-            place -= 1
-        start, held = self._buckets[place]
-        self._buckets[place] = (start, held - amount)
+        index = len(self._buckets) - 1
+        while index and self._buckets[index][0] > added_at:
+            index -= 1
+        start, held = self._buckets[index]
+        self._buckets[index] = (start, held - amount)
         self._total -= amount
 
     def total(self, now: float) -> float:
-        """Return the sum over the window that ends now."""
+        """Return the sum over the window that ends at `now`."""
         self._expire(now)
         return self._total
 
     def newest(self, now: float, within_s: float) -> float:
-        """Return the sum of what was added in the last seconds."""
+        """Return the sum of the amounts added in the last `within_s`."""
         self._expire(now)
         total: float = 0
         for start, amount in reversed(self._buckets):
@@ -68,7 +72,7 @@
         return total
 
     def oldest(self, now: float, within_s: float) -> float:
-        """Return the sum of what leaves the window in the next seconds."""
+        """Return the sum of the amounts that expire in the next `within_s`."""
         self._expire(now)
         total: float = 0
         ends_at = now - self._window - self._bucket + within_s
@@ -79,7 +83,7 @@
         return total
 
     def parts(self, now: float) -> tuple[tuple[float, float], ...]:
-        """Return the ages and amounts that make up the sum."""
+        """Return the age and amount of each bucket."""
         self._expire(now)
         return tuple(
             (max(0, now - start - self._bucket), amount)
--- a/tests/platform/test_decisions.py
+++ b/tests/platform/test_decisions.py
@@ -1,4 +1,4 @@
-"""Properties of the decisions; no I/O, time is an argument."""
+"""Properties of the scheduling decisions, without I/O or a real clock."""
 
 import random
 
@@ -35,7 +35,7 @@
 
 
 @given(_steps)
-def test_sliding_sum_never_counts_too_little(
+def test_sliding_sum_is_never_below_the_exact_sum(
     steps: list[tuple[float, int, int]],
 ) -> None:
     window = SlidingSum(_WINDOW_S)
@@ -53,7 +53,7 @@
 def test_quota_holds_over_three_instances(
     steps: list[tuple[float, int, int]],
 ) -> None:
-    """Reports that arrive at once keep the sum exact."""
+    """The quota is exact if reports arrive without delay."""
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     bounds = QuotaBounds(_WINDOW_S, 0.1, 100)
     nodes = [Quotas(bounds, -100) for _ in range(3)]
@@ -74,7 +74,7 @@
 
 
 @given(_steps)
-def test_quota_holds_where_nobody_hears_anybody(
+def test_quota_holds_over_instances_that_are_all_partitioned(
     steps: list[tuple[float, int, int]],
 ) -> None:
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
@@ -91,11 +91,11 @@
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT * 1.1 + 100
 
 
-def test_quota_after_two_restarts_of_all_stays_in_its_bound() -> None:
-    """The whole quota is used at once, and again after each restart.
+def test_quota_bound_holds_after_two_restarts_of_all_instances() -> None:
+    """The whole quota is used immediately, and again after each restart.
 
-    What is admitted between the last write and the end is forgotten, here
-    one step of 40; the granted slack bears it.
+    Use admitted between the last write and the termination is lost, here one
+    step of 40. The configured slack covers it.
     """
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     taken: list[tuple[float, float]] = []
@@ -116,7 +116,7 @@
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT * 1.1 + 100
 
 
-def test_a_restarted_instance_learns_the_use_of_all() -> None:
+def test_restarted_instance_adopts_the_use_of_the_fleet() -> None:
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     old = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100)
     young = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), 5)
@@ -131,7 +131,7 @@
     assert not young.take('w', 10, 14)
 
 
-def test_lowered_quota_binds_at_once() -> None:
+def test_lowered_quota_applies_immediately() -> None:
     node = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100)
     node.configure({'w': Workspace('w', None, _RATE, _BURST, True, 1)})
     assert not node.take('w', 400, 0)
@@ -156,12 +156,12 @@
             if nodes[chosen].take(now, 3):
                 repeats.append(now)
         recent = sum(at > now - 10 for at in repeats)
-        # Requests count for the window before, too.
+        # A retry may use the budget of requests of the preceding window.
         asked = sum(at > now - 20 for at in requests)
         assert recent <= 0.2 * asked + 50
 
 
-def test_freshness_counts_from_the_question() -> None:
+def test_freshness_counts_from_the_confirming_query() -> None:
     fresh = Freshness(3)
     assert not fresh.holds(0)
     fresh.confirm(10)
@@ -182,7 +182,7 @@
 
 
 def _places(pool: ServicePool, now: float) -> list[tuple[str, Upstream]]:
-    """Decide; all that comes of it must be grants."""
+    """Run a decision that must consist of grants only."""
     decisions = pool.decide(now)
     assert all(isinstance(decision, Granted) for decision in decisions)
     return [
@@ -193,8 +193,8 @@
 
 
 @given(st.integers(0, 10_000))
-def test_pool_never_fills_more_places_than_there_are(seed: int) -> None:
-    """Each job gets one decision; no upstream more jobs than places."""
+def test_pool_never_exceeds_the_slots_of_an_upstream(seed: int) -> None:
+    """Each job gets one decision, and leaving upstreams get no jobs."""
     rng = random.Random(seed)
     pool = ServicePool('svc', 5, random.Random(1))
     upstreams = [_upstream(f'u{number}', 3) for number in range(3)]
@@ -225,7 +225,7 @@
         assert all(counts.count(name) <= 3 for name in counts)
 
 
-def test_pool_serves_in_time_before_late() -> None:
+def test_pool_serves_jobs_in_time_before_late_jobs() -> None:
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 1)])
     pool.ask(_job('runs', 0, 0))
@@ -241,7 +241,7 @@
     assert granted == ['fresh']
 
 
-def test_pool_gives_up_before_the_end() -> None:
+def test_pool_rejects_a_job_before_its_timeout() -> None:
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 1)])
     pool.ask(_job('runs', 0, 0))
@@ -253,7 +253,7 @@
     assert decision.retry_after_s > 0
 
 
-def test_a_pool_leaves_unheard_instances_their_places() -> None:
+def test_pool_leaves_slots_to_unreachable_instances() -> None:
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 9)])
     pool.take_share(1 / 3)
@@ -264,7 +264,7 @@
     assert len(pool.decide(0)) == 6
 
 
-def test_owner_moves_only_with_the_instances() -> None:
+def test_owner_changes_only_with_the_set_of_instances() -> None:
     ownership = Ownership()
     assert ownership.owner('svc') is None
     assert ownership.take_live(frozenset('abc'))
@@ -279,7 +279,7 @@
 
 
 @given(_events, st.lists(st.integers(1, 40), max_size=30))
-def test_events_come_whole_however_they_are_cut(
+def test_events_are_reassembled_from_arbitrary_chunks(
     numbers: list[int],
     cuts: list[int],
 ) -> None:
@@ -295,7 +295,7 @@
     assert not splitter.held
 
 
-def test_an_id_that_is_no_number_is_refused() -> None:
+def test_non_numeric_event_id_is_rejected() -> None:
     try:
         EventSplitter().feed(b'id: x\n\n')
     except BadEventError:
@@ -304,7 +304,7 @@
 
 
 @given(_steps)
-def test_use_above_the_quota_stays_within_half_of_what_is_granted(
+def test_use_above_the_quota_stays_within_half_of_the_overshoot(
     steps: list[tuple[float, int, int]],
 ) -> None:
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
@@ -322,7 +322,7 @@
     )
 
 
-def test_nothing_above_the_quota_where_the_use_of_all_is_unknown() -> None:
+def test_no_use_above_the_quota_if_the_use_of_the_fleet_is_unknown() -> None:
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     young = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), 0)
     cut = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100)
@@ -332,7 +332,7 @@
         assert not node.take_spare('w', 1, 0.1)
 
 
-def test_a_job_above_its_quota_leaves_a_quarter_of_the_places() -> None:
+def test_over_quota_jobs_leave_a_quarter_of_the_slots_free() -> None:
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 8)])
     for number in range(8):
@@ -348,8 +348,8 @@
     return msgspec.structs.replace(_job(key, 0, now), prompt_tokens=5000)
 
 
-def test_a_job_waits_for_the_upstream_that_is_in_time() -> None:
-    """The free upstream needs 2 s for the prompt, the busy one 0.1 s."""
+def test_job_waits_for_an_upstream_that_meets_its_deadline() -> None:
+    """The free upstream needs 2 s for the prefill, the busy one 0.1 s."""
     pool = ServicePool('svc', 5, random.Random(1))
     slow, fast = _upstream('slow', 1), _upstream('fast', 1)
     first_s = {slow: 2.03, fast: 0.13}
@@ -369,8 +369,8 @@
     assert _places(pool, 1.1) == [('waits', fast)]
 
 
-def test_an_urgency_that_gets_no_places_is_given_up_at_once() -> None:
-    """Places go to the most urgent as fast as they become free."""
+def test_job_of_a_starved_urgency_is_rejected_immediately() -> None:
+    """The most urgent jobs use all slots as soon as they become free."""
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 2)])
     now: float = 0
@@ -391,8 +391,8 @@
     assert waited < 0.1
 
 
-def test_use_is_written_before_much_of_it_could_be_forgotten() -> None:
-    """A new writer writes at once; then after each 55 of 185 granted."""
+def test_use_is_written_before_much_of_it_could_be_lost() -> None:
+    """A new writer writes immediately, then per 55 of the 185 of overshoot."""
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     node = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100)
     node.configure({'w': workspace})
@@ -400,7 +400,7 @@
     node.reported('w', 600, 0)
     due = node.due_writing(0)
     assert due
-    # The store did not take it.
+    # The write to the store failed.
     assert node.due_writing(0.1)
     node.note_written(due)
     assert node.due_writing(0.2) is None
@@ -410,7 +410,7 @@
     due = node.due_writing(0.4)
     assert due
     node.note_written(due)
-    # What has left the window is cleared once.
+    # Use that has left the window is cleared with one write.
     cleared = node.due_writing(9)
     assert cleared is not None
     assert not cleared
@@ -418,8 +418,8 @@
     assert node.due_writing(9.1) is None
 
 
-def test_a_restarted_part_of_the_fleet_has_its_part_of_the_quota() -> None:
-    """Two of seven hear each other; nothing is known of the use before."""
+def test_restarted_part_of_the_fleet_gets_its_part_of_the_quota() -> None:
+    """Two of seven instances are connected and earlier use is unknown."""
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     node = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), 0)
     node.configure({'w': workspace})
@@ -428,10 +428,10 @@
 
 
 @given(_steps)
-def test_quota_holds_over_restarted_instances_that_hear_nobody(
+def test_quota_holds_over_restarted_and_partitioned_instances(
     steps: list[tuple[float, int, int]],
 ) -> None:
-    """0.6 of the quota was used evenly just before and not written."""
+    """0.6 of the quota was used evenly before the restart, but not written."""
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     nodes = [Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), 0) for _ in range(3)]
     for node in nodes:
--- a/tests/platform/test_lateness.py
+++ b/tests/platform/test_lateness.py
@@ -1,4 +1,4 @@
-"""What made an answer late is told in parts, and travels between instances."""
+"""The breakdown of a late response, and its exchange between instances."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
     note_send(visit, Grant(cast('Any', None), 'x', waited_s, forecast_s), at)
 
 
-def test_an_answer_that_began_in_time_is_not_late() -> None:
+def test_response_that_started_in_time_is_not_late() -> None:
     assert lateness(_visit(10 + _OBJECTIVE_S), 12) is None
 
 
-def test_the_parts_of_the_way_add_up_to_it() -> None:
+def test_parts_of_the_latency_add_up() -> None:
     visit = _visit(11.5, since_first_s=0.4)
     _sent(visit, 0.2, 0.1, 10.2)
     _sent(visit, 0.3, 0.1, 11.0)
@@ -62,7 +62,7 @@
     assert (late.first_ms, late.forecast_ms) == (500, 100)
 
 
-def test_what_was_held_begins_when_it_ends() -> None:
+def test_buffered_response_starts_when_it_ends() -> None:
     visit = _visit(None)
     _sent(visit, 0, 0.1, 10)
     late = lateness(visit, 11)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize('resumed', [False, True])
-def test_a_pause_alone_makes_late(*, resumed: bool) -> None:
+def test_pause_alone_makes_a_response_late(*, resumed: bool) -> None:
     name = 'resumed_pause_s' if resumed else 'pause_s'
     visit = _visit(10.1, **{name: 0.3})
     _sent(visit, 0, 0.1, 10)
@@ -88,7 +88,7 @@
     st.floats(0, 10_000, width=32),
     st.integers(0, 6000),
 )
-def test_an_outlook_is_told_to_other_instances(
+def test_outlook_survives_encoding_and_decoding(
     retry_s: float,
     ahead: int,
     wait_s: float,
--- a/tests/platform/test_limit_returns.py
+++ b/tests/platform/test_limit_returns.py
@@ -1,4 +1,4 @@
-"""When callers may return that a limited upstream has no room for."""
+"""Retry delays for callers rejected because of upstream rate limits."""
 
 import random
 
@@ -7,7 +7,7 @@
 from tallyhall_dispatch.forecast import Forecast
 from tallyhall_dispatch.group import UpstreamGroup
 from tallyhall_dispatch.jobs import Job
-from tallyhall_dispatch.refusing import Refusing
+from tallyhall_dispatch.refusing import RejectionPolicy
 from tallyhall_dispatch.shares import GrantRates
 from tallyhall_dispatch.switches import ALL_ON
 
@@ -18,22 +18,22 @@
     ('limited', 'least_s', 'most_s'),
     [(('u', 'v'), 8, 30), (('u',), 0.25, 3)],
 )
-def test_a_refused_caller_returns_no_sooner_than_its_turn(
+def test_retry_delay_covers_the_wait_for_the_rate_limits(
     limited: tuple[str, ...],
     least_s: float,
     most_s: float,
 ) -> None:
-    """Where all name limits; an upstream without one may have room sooner."""
+    """Only if all upstreams have limits; others may have a slot sooner."""
     rng = random.Random(1)
     group = UpstreamGroup(ALL_ON, rng)
-    group.take(
+    group.set_upstreams(
         Upstream(name, 'svc', '', 1, 'a', 1, leaving=False)
         for name in ('u', 'v')
     )
     group.apply_limits(dict.fromkeys(limited, _LIMIT_PER_S), 1, 0)
-    refusing = Refusing(group, GrantRates(), rng, ALL_ON)
+    policy = RejectionPolicy(group, GrantRates(), rng, ALL_ON)
     job = Job('k', 'svc', 'a', 0, 100, 30, 0, 1, 2)
     rate = 2 * _LIMIT_PER_S
-    given_up = refusing.judge(job, 4, Forecast(0, rate, 0.03, 0.0001))
-    assert given_up is not None
-    assert least_s <= given_up.retry_after_s <= most_s
+    rejection = policy.evaluate(job, 4, Forecast(0, rate, 0.03, 0.0001))
+    assert rejection is not None
+    assert least_s <= rejection.retry_after_s <= most_s
--- a/tests/platform/test_named_limits.py
+++ b/tests/platform/test_named_limits.py
@@ -1,10 +1,11 @@
-"""A limit that an upstream names holds for all instances together.
+"""A rate limit announced by an upstream applies to all instances together.
 
-Two engines that named 2.7 and 3.1 requests a second were sent 46 and 45 in
-four seconds, by seven instances and one owner: nothing read what they named.
+Guards against ignored limits: two engines that announced 2.7 and 3.1 requests
+per second received 46 and 45 in four seconds from seven instances with one
+owner, because the announcements were not read.
 
-Allowed in any four seconds: one and a half times the limit, and five requests.
-Half of the limit at least is to be used while callers wait.
+In any four seconds, 1.5 times the limit plus five requests are allowed. At
+least half of the limit has to be used while callers are waiting.
 """
 
 import asyncio
@@ -28,12 +29,12 @@
     most_in_window,
 )
 
-# An instance that was told must keep to it this much later.
-_TOLD_S = 0.5
+# Seconds after an announcement from which on all instances must apply it.
+_PROPAGATION_S = 0.5
 _LIMIT_PER_S = 1.5
-# Requests a second of all callers: more than all upstreams would take.
-_ASKED_PER_S = 30
-_of_each_kind = pytest.mark.parametrize(
+# Requests per second of all callers, which exceeds the limits of all upstreams.
+_OFFERED_PER_S = 30
+_for_each_kind = pytest.mark.parametrize(
     ('path', 'service'),
     [('/stream/x', MODEL), ('/safe/x', PLAIN), ('/once/x', PLAIN)],
     ids=['stream', 'safe', 'once'],
@@ -42,15 +43,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _Load:
-    """Callers that ask all instances in turn, whatever becomes of it."""
+    """Open-loop load that is sent to all instances in turn."""
 
     made: Deployment
     path: str
     answers: list[Answer] = dataclasses.field(default_factory=list)
     asked: int = 0
 
-    async def run(self, seconds: float, per_s: float = _ASKED_PER_S) -> None:
-        """Ask for so long, then wait for the answers."""
+    async def run(self, seconds: float, per_s: float = _OFFERED_PER_S) -> None:
+        """Send requests for `seconds`, then wait for all responses."""
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         asks = set()
@@ -60,7 +61,7 @@
         await asyncio.gather(*asks)
 
     def statuses(self) -> collections.Counter[int]:
-        """Return how many answers had each status."""
+        """Return the number of responses by status."""
         return collections.Counter(answer.status for answer in self.answers)
 
     async def _ask(self) -> None:
@@ -87,8 +88,8 @@
     return engines
 
 
-@_of_each_kind
-async def test_one_that_names_a_limit_gets_no_more_from_all_together(
+@_for_each_kind
+async def test_limit_of_one_upstream_applies_to_all_instances_together(
     path: str,
     service: str,
 ) -> None:
@@ -97,16 +98,16 @@
         load = _Load(made, path)
         await load.run(0.5)
         engines[0].limit_per_s = _LIMIT_PER_S
-        named_at = asyncio.get_running_loop().time()
-        await load.run(_TOLD_S + LIMIT_WINDOW_S + 1)
-        assert _most(engines[0], named_at + _TOLD_S) <= limit_allows(
+        announced_at = asyncio.get_running_loop().time()
+        await load.run(_PROPAGATION_S + LIMIT_WINDOW_S + 1)
+        assert _most(engines[0], announced_at + _PROPAGATION_S) <= limit_allows(
             _LIMIT_PER_S
         )
         assert set(load.statuses()) == {200}
 
 
-@_of_each_kind
-async def test_where_all_name_limits_the_rest_is_told_when_to_return(
+@_for_each_kind
+async def test_rejected_callers_get_a_retry_delay_if_all_upstreams_have_limits(
     path: str,
     service: str,
 ) -> None:
@@ -115,10 +116,10 @@
         for engine in engines:
             engine.limit_per_s = _LIMIT_PER_S
         load = _Load(made, path)
-        named_at = asyncio.get_running_loop().time()
-        await load.run(_TOLD_S + LIMIT_WINDOW_S + 1)
+        announced_at = asyncio.get_running_loop().time()
+        await load.run(_PROPAGATION_S + LIMIT_WINDOW_S + 1)
         for engine in engines:
-            most = _most(engine, named_at + _TOLD_S)
+            most = _most(engine, announced_at + _PROPAGATION_S)
             assert most <= limit_allows(_LIMIT_PER_S)
             assert most >= 0.5 * LIMIT_WINDOW_S * _LIMIT_PER_S
         assert set(load.statuses()) == {200, 503}
--- a/tests/platform/test_placing.py
+++ b/tests/platform/test_placing.py
@@ -1,6 +1,7 @@
-"""Which upstream a job gets, and which job a place, when not all can be.
+"""Which upstream a job gets, and which job gets a slot under overload.
 
-Figures of loads like these, played whole, are in docs/DECISIONS-UNDER-LOAD.md.
+Measurements of full simulations of such loads are in
+docs/DECISIONS-UNDER-LOAD.md.
 """
 
 import asyncio
@@ -57,7 +58,7 @@
 
 
 def _ran(pool: ServicePool, name: str, report: RunReport) -> None:
-    """Let some jobs run at an upstream and end like this."""
+    """Let six jobs run on an upstream and end with this report."""
     for number in range(6):
         job = _job(f'{name}/{number}', 0)
         pool.note_running(job, name)
@@ -75,7 +76,7 @@
 # -- pauses
 
 
-def test_a_stream_waits_for_an_upstream_that_keeps_its_pace() -> None:
+def test_stream_waits_for_an_upstream_that_meets_its_pause_limit() -> None:
     pool = _pool(_upstream('quick'), _upstream('slow'))
     _ran(pool, 'quick', _QUICK)
     _ran(pool, 'slow', _SLOW)
@@ -87,7 +88,7 @@
     assert _granted(pool, 1.2) == {'waits': 'quick'}
 
 
-def test_a_slow_one_is_taken_once_waiting_has_cost_half_of_the_time() -> None:
+def test_slow_upstream_is_used_after_half_of_the_time_to_the_deadline() -> None:
     pool = _pool(_upstream('quick'), _upstream('slow'))
     _ran(pool, 'quick', _QUICK)
     _ran(pool, 'slow', _SLOW)
@@ -97,14 +98,14 @@
     assert _granted(pool, 1 + _AIM_S / 2 + 0.01) == {'waits': 'slow'}
 
 
-def test_where_none_keeps_its_pace_none_is_waited_for() -> None:
+def test_stream_does_not_wait_if_no_upstream_meets_the_pause_limit() -> None:
     pool = _pool(_upstream('slow'))
     _ran(pool, 'slow', _SLOW)
     pool.ask(_job('first', 1))
     assert _granted(pool, 1) == {'first': 'slow'}
 
 
-def test_a_short_answer_and_one_without_a_bound_use_the_slow_one() -> None:
+def test_slow_upstream_serves_short_and_unlimited_responses() -> None:
     pool = _pool(_upstream('quick'), _upstream('slow', 2))
     _ran(pool, 'quick', _QUICK)
     _ran(pool, 'slow', _SLOW)
@@ -118,11 +119,12 @@
 # -- lengths
 
 
-def test_answers_are_taken_for_as_long_as_they_were() -> None:
-    """An engine that reads much is no choice for an answer of few events.
+def test_response_length_is_estimated_from_earlier_responses() -> None:
+    """A short response must not go to an engine with a long prefill.
 
-    Callers state ten times the tokens that come. By that a pace that is 1 ms
-    better outweighed a prompt that takes 0.6 s to read.
+    Callers state a token limit of ten times the usual length. With that length,
+    an engine that is 1 ms faster per event was preferred although 0.6 s of
+    prefill were pending on it.
     """
     short = RunReport(Ending.answered, 0.08, 0.05, 4, 0.03, 0.01)
     paced = RunReport(Ending.answered, 0.08, 0.05, 4, 0.027, 0.01)
@@ -135,7 +137,7 @@
     assert _granted(pool, 1) == {'short': 'free'}
 
 
-# -- callers that come back
+# -- callers that retry
 
 
 def _route(name: str, timeout_s: float = 15) -> Route:
@@ -156,19 +158,19 @@
     )
 
 
-def test_a_limit_tells_when_a_caller_first_tried() -> None:
+def test_stated_timeout_reveals_the_first_attempt() -> None:
     tries = FirstTries()
     route = _route('r')
     assert tries.since_s(route, 'w', 12, 0) == 0
     assert tries.since_s(route, 'w', 11.9, 1) == 0
     assert tries.since_s(route, 'w', 10, 2) == 2
-    # Another limit, not another try; another route; none stated.
+    # A different timeout rather than a retry; another route; no timeout.
     assert tries.since_s(route, 'w', 3, 2) == 0
     assert tries.since_s(_route('s'), 'w', 10, 2) == 0
     assert tries.since_s(route, 'w', None, 2) == 0
 
 
-def test_a_limit_that_is_stated_no_more_is_forgotten() -> None:
+def test_timeout_that_is_no_longer_stated_expires() -> None:
     tries = FirstTries()
     route = _route('r')
     tries.since_s(route, 'w', 12, 0)
@@ -176,8 +178,8 @@
     assert tries.since_s(route, 'w', 9, 11.5) == 1
 
 
-def test_one_caller_makes_no_others_look_late() -> None:
-    """Neither with a limit above the route's nor from another workspace."""
+def test_one_caller_does_not_make_others_look_late() -> None:
+    """Neither by a timeout above the route's nor from another workspace."""
     tries = FirstTries()
     route = _route('r', 12)
     tries.since_s(route, 'w', 12, 0)
@@ -197,7 +199,7 @@
         ),
     ),
 )
-def test_no_first_try_lies_ahead_or_far_back(
+def test_first_attempt_is_never_in_the_future_or_too_old(
     stated: list[tuple[str, float | None, float]],
 ) -> None:
     tries = FirstTries()
@@ -207,7 +209,7 @@
         assert 0 <= tries.since_s(_route(name), 'w', limit_s, now) <= 5
 
 
-async def test_one_that_comes_back_late_leaves_a_place_to_a_fresh_one() -> None:
+async def test_late_retry_is_served_after_a_first_attempt() -> None:
     async with deployment() as made:
         engine = await made.add_engine('engine-0')
         made.register('engine-0', made.addresses['engine-0'], slots=1)
@@ -221,7 +223,7 @@
         kept = {**TOKENS, limit: '5000'}
         busy = asyncio.create_task(_ask(made.caller(), 'busy', kept))
         await until(lambda: engine.running == 1)
-        # Its objective of a second has passed since its first try.
+        # 1.5 s after its first attempt, with a latency objective of 1 s.
         back = asyncio.create_task(
             _ask(made.caller(), 'back', {**TOKENS, limit: '3500'}),
         )
@@ -239,7 +241,7 @@
 # -- late jobs
 
 
-def test_a_late_job_leaves_places_for_what_arrives_meanwhile() -> None:
+def test_late_job_leaves_free_slots_for_new_arrivals() -> None:
     pool = _pool(_upstream('u', 20))
     for number in range(19):
         pool.note_running(_job(f'runs/{number}', 0), 'u')
@@ -252,8 +254,8 @@
     assert _granted(pool, 1.1) == {'late': 'u'}
 
 
-def test_nobody_waits_behind_late_jobs() -> None:
-    """Late jobs in the queue do not make the forecast for one in time worse."""
+def test_no_job_waits_behind_late_jobs() -> None:
+    """Queued late jobs do not increase the expected wait of a job in time."""
     pool = _pool(_upstream('u'))
     _ran(pool, 'u', RunReport(Ending.answered, 0.3, 0.05, 20, 0.2, 0.04))
     pool.note_running(_job('runs', 1), 'u')
@@ -266,12 +268,12 @@
     assert _granted(pool, 1.1) == {'fresh': 'u'}
 
 
-# -- callers that are told to return
+# -- retry delays
 
 
-def _told(due_in_s: float) -> list[float]:
-    """Return what callers are told whom one engine cannot serve in time."""
-    told: list[float] = []
+def _retry_delays(due_in_s: float) -> list[float]:
+    """Return the retry delays of callers that one engine cannot serve."""
+    delays: list[float] = []
     for seed in range(20):
         pool = ServicePool('svc', _EVENT_TOKENS, random.Random(seed))
         pool.set_upstreams([_upstream('u', 10)])
@@ -281,27 +283,27 @@
         for number in range(30):
             due_at = 1 + due_in_s
             pool.ask(_job(f'{number}', 1, due_at=due_at, give_up_at=2))
-        told.extend(
+        delays.extend(
             decision.retry_after_s
             for decision in pool.decide(1)
             if isinstance(decision, GivenUp)
         )
-    return told
+    return delays
 
 
-def test_who_will_be_late_returns_later_and_not_with_all_others() -> None:
-    told = _told(0.2)
-    assert told
-    assert min(told) >= 1
-    assert max(told) <= 3
-    assert len(set(told)) > 1
+def test_callers_that_will_be_late_get_longer_and_jittered_delays() -> None:
+    delays = _retry_delays(0.2)
+    assert delays
+    assert min(delays) >= 1
+    assert max(delays) <= 3
+    assert len(set(delays)) > 1
 
 
 # -- failures
 
 
-def test_where_all_fail_none_is_set_aside() -> None:
-    """A part of what is sent succeeds; what waits for nobody fails whole."""
+def test_no_upstream_is_ejected_if_all_fail() -> None:
+    """Some of the requests succeed; without upstreams, all would fail."""
     pool = _pool(_upstream('a', 4), _upstream('b', 4))
     _ran(pool, 'a', _FAILED)
     _ran(pool, 'b', _FAILED)
@@ -310,7 +312,7 @@
     assert [type(decision) for decision in decisions] == [Granted]
 
 
-def test_one_that_fails_is_set_aside_while_another_does_not() -> None:
+def test_failing_upstream_is_ejected_if_another_one_works() -> None:
     pool = _pool(_upstream('a', 4), _upstream('b', 4))
     _ran(pool, 'a', _FAILED)
     for number in range(4):
@@ -318,8 +320,8 @@
     assert set(_granted(pool, 0).values()) == {'b'}
 
 
-def test_nothing_is_refused_while_half_of_the_places_are_free() -> None:
-    """Whatever its objective is: late is better than not at all."""
+def test_nothing_is_rejected_while_half_of_the_slots_are_free() -> None:
+    """Even past the deadline: a late response is better than none."""
     pool = _pool(_upstream('a', 4), _upstream('b', 4))
     _ran(pool, 'a', _FAILED)
     _ran(pool, 'b', _FAILED)
--- a/tests/platform/test_rests.py
+++ b/tests/platform/test_rests.py
@@ -1,4 +1,4 @@
-"""Upstreams that asked for rest: who must not send, and who may return when."""
+"""Backoff requested by upstreams: which jobs avoid them, and for how long."""
 
 import random
 
@@ -26,7 +26,7 @@
     return Job(key, 'svc', 'a', 0, 100, 30, 0, 5, 5, resting=resting)
 
 
-def test_the_longest_rest_counts_and_ends() -> None:
+def test_longest_backoff_applies_until_it_ends() -> None:
     rests = Rests()
     rests.ask('u', _REST_S, 0)
     rests.ask('u', 1, 0.5)
@@ -37,7 +37,7 @@
     assert not rests.current(_REST_S)
 
 
-def test_only_those_that_were_asked_keep_away() -> None:
+def test_only_instances_that_were_asked_back_off() -> None:
     pool = _pool()
     pool.ask(_job('told', {'u': _REST_S}))
     pool.ask(_job('free', {}))
@@ -49,7 +49,7 @@
     assert placed == {'told': 'v', 'free': 'u'}
 
 
-def test_who_waits_gets_the_place_when_the_rest_is_over() -> None:
+def test_queued_job_gets_the_slot_when_the_backoff_ends() -> None:
     pool = _pool()
     pool.ask(_job('busy', {'u': _REST_S}))
     pool.decide(0)
@@ -59,7 +59,7 @@
     assert [grant.key for grant in granted] == ['next']
 
 
-def test_where_all_rest_the_first_end_is_told() -> None:
+def test_retry_delay_is_the_first_end_of_a_backoff_if_all_back_off() -> None:
     pool = _pool()
     pool.ask(_job('told', {'u': _REST_S, 'v': _REST_S + 1}))
     assert pool.decide(0) == [GivenUp('told', _REST_S)]
@@ -67,7 +67,7 @@
     assert pool.opens_in_s({'u': _REST_S}, 0) == 0
 
 
-def test_owners_hear_of_rests_on_their_own_clocks() -> None:
+def test_backoff_ends_are_converted_to_the_clock_of_the_owner() -> None:
     ask = peers_pb2.Ask()
     fill_job(ask, _job('told', {'u': 103}), 100)
     assert decode_job(ask, 7).resting == {'u': 10}
--- a/tests/platform/test_token_bucket.py
+++ b/tests/platform/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""What may be sent at a limit, by whoever decides."""
+"""Token buckets for the rate limits announced by upstreams."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 def _bucket(per_s: float, part: float, seed: int = 1) -> TokenBucket:
     bucket = TokenBucket(0, random.Random(seed))
-    bucket.change_rate(per_s, part, 0)
+    bucket.update_rate(per_s, part, 0)
     return bucket
 
 
@@ -26,7 +26,7 @@
     st.floats(0.1, 1),
     st.lists(st.floats(0, 1), min_size=1, max_size=200),
 )
-def test_no_window_holds_more_than_a_rate_and_what_is_kept(
+def test_no_window_exceeds_the_rate_and_the_bucket_capacity(
     per_s: float,
     part: float,
     pauses: list[float],
@@ -37,45 +37,45 @@
     for pause_s in pauses:
         now += pause_s
         if bucket.has_token(now):
-            bucket.take()
+            bucket.take_token()
             sent.append((now, 1.0))
     rate = per_s * part
     most = rate * _WINDOW_S + max(1, rate / 2) + 1
     assert most_in_window(sent, _WINDOW_S) <= most
 
 
-def test_one_for_whom_others_decide_sends_nothing() -> None:
+def test_bucket_without_a_part_of_the_limit_has_no_tokens() -> None:
     bucket = _bucket(10, 0)
     assert not bucket.has_token(1000)
-    bucket.change_rate(10, 1, 1000)
+    bucket.update_rate(10, 1, 1000)
     assert bucket.has_token(1000.2)
 
 
-def test_hundreds_that_begin_to_decide_alone_send_what_is_named() -> None:
+def test_hundreds_of_independent_instances_keep_to_the_limit() -> None:
     buckets = [_bucket(4, 1 / 400, seed) for seed in range(400)]
     sent = 0
     for tick in range(200):
         for bucket in buckets:
             if bucket.has_token(tick / 20):
-                bucket.take()
+                bucket.take_token()
                 sent += 1
     assert 0.6 * 40 <= sent <= 1.4 * 40
 
 
-def test_what_others_decide_is_owed_and_what_was_not_sent_comes_back() -> None:
+def test_debt_of_other_instances_and_return_of_unused_tokens() -> None:
     bucket = _bucket(1, 1)
-    bucket.take()
-    bucket.take()
+    bucket.take_token()
+    bucket.take_token()
     assert not bucket.has_token(1)
-    bucket.give_back()
-    bucket.give_back()
+    bucket.return_token()
+    bucket.return_token()
     assert bucket.has_token(1)
 
 
-def test_one_on_trial_may_name_a_limit() -> None:
+def test_canary_may_announce_a_limit() -> None:
     group = UpstreamGroup(ALL_ON, random.Random(1))
     fields = ('svc', '', 1, 'a', 1)
-    group.take(
+    group.set_upstreams(
         (
             Upstream('old', *fields, leaving=False),
             Upstream('new', *fields, leaving=False, canary=True),
@@ -86,7 +86,7 @@
     assert [view.incarnation for view in group.free_canaries(1)] == ['new']
 
 
-def test_the_newest_word_counts_whoever_heard_it() -> None:
+def test_latest_announcement_applies() -> None:
     limits = NamedLimits()
     assert limits.take('u', NamedLimit(3, 10))
     assert not limits.take('u', NamedLimit(5, 9))
--- a/tests/platform/test_waiting.py
+++ b/tests/platform/test_waiting.py
@@ -1,4 +1,4 @@
-"""The order of waiting jobs, against a plain list."""
+"""The order of queued jobs, compared with a sorted list."""
 
 import functools
 
@@ -31,10 +31,10 @@
 
 
 @given(_actions)
-def test_jobs_come_by_due_time_and_none_is_lost(
+def test_jobs_are_ordered_by_deadline_and_none_is_lost(
     actions: list[tuple[str, int, int]],
 ) -> None:
-    """Jobs due before a moment that only grows are late."""
+    """Jobs due before a time that only increases are late."""
     waiting = WaitingJobs()
     model: dict[str, Job] = {}
     late_before: float = 0
@@ -48,12 +48,12 @@
             waiting.remove(key)
             model.pop(key)
         elif action == 'd':
-            waiting.remove_all('a/')
+            waiting.remove_prefix('a/')
             model = {key: job for key, job in model.items() if key[0] != 'a'}
         elif action == 'l':
             late_before = max(late_before, amount)
         moment = late_before
-        waiting.set_late_aside(functools.partial(_is_late, moment))
+        waiting.defer_late(functools.partial(_is_late, moment))
         assert len(waiting) == len(model)
         for late in (False, True):
             expected = sorted(
