--- a/packages/dispatch/src/tallyhall_dispatch/engines.py
+++ b/packages/dispatch/src/tallyhall_dispatch/engines.py
@@ -105,8 +105,8 @@
 
     def free_slots(self, share: float) -> int:
         """Return how many more requests may run in this share of the slots."""
-        places = math.ceil(self.upstream.slots * share)
-        return max(1, places) - len(self.runs)
+        slots = math.ceil(self.upstream.slots * share)
+        return max(1, slots) - len(self.runs)
 
     def has_slot(self, share: float, now: float) -> bool:
         """Return whether a request may start here now."""
--- a/packages/dispatch/src/tallyhall_dispatch/named_limits.py
+++ b/packages/dispatch/src/tallyhall_dispatch/named_limits.py
@@ -49,29 +49,29 @@
         """Yield the latest announcements, including withdrawn limits."""
         yield from self._announced.items()
 
-    def take(self, incarnation: str, word: NamedLimit) -> bool:
+    def take(self, incarnation: str, announcement: NamedLimit) -> bool:
         """Store an announcement; return whether the limit changed."""
         known = self._announced.get(incarnation)
-        if known is not None and word.heard_at < known.heard_at:
+        if known is not None and announcement.heard_at < known.heard_at:
             return False
-        if known is None and word.per_s is None:
+        if known is None and announcement.per_s is None:
             return False
         # Reinserted at the end, so that the dict stays in order of receipt.
         self._announced.pop(incarnation, None)
-        self._announced[incarnation] = word
+        self._announced[incarnation] = announcement
         self._forget_oldest()
-        if word.per_s is None:
+        if announcement.per_s is None:
             return self._current.pop(incarnation, None) is not None
-        has_changed = self._current.get(incarnation) != word.per_s
-        self._current[incarnation] = word.per_s
+        has_changed = self._current.get(incarnation) != announcement.per_s
+        self._current[incarnation] = announcement.per_s
         return has_changed
 
-    def contradicted(self, incarnation: str, word: NamedLimit) -> bool:
+    def contradicted(self, incarnation: str, announcement: NamedLimit) -> bool:
         """Return whether a different limit was received later."""
         known = self._announced.get(incarnation)
-        if known is None or known.heard_at <= word.heard_at:
+        if known is None or known.heard_at <= announcement.heard_at:
             return False
-        return known.per_s != word.per_s
+        return known.per_s != announcement.per_s
 
     def is_taken_back(self, incarnation: str, asked_at: float) -> bool:
         """Return whether a response without a limit withdraws the limit.
--- a/packages/dispatch/src/tallyhall_dispatch/pool.py
+++ b/packages/dispatch/src/tallyhall_dispatch/pool.py
@@ -273,8 +273,8 @@
         now = forecast.now
         if self.rollout.may_expose(job, now):
             for canary in free:
-                rests = now < job.resting.get(canary.incarnation, now)
-                if canary.upstream.canary and not rests:
+                backing_off = now < job.resting.get(canary.incarnation, now)
+                if canary.upstream.canary and not backing_off:
                     return canary
         in_use = [view for view in free if not view.upstream.canary]
         return self._selector.best(job, in_use, forecast)
--- a/tests/platform/test_lateness.py
+++ b/tests/platform/test_lateness.py
@@ -96,12 +96,12 @@
     free: int,
 ) -> None:
     message = peers_pb2.GiveUp()
-    told = GivenUp('one/1', retry_s, Outlook(ahead, wait_s, rate, free))
-    fill_give_up(message, told)
+    original = GivenUp('one/1', retry_s, Outlook(ahead, wait_s, rate, free))
+    fill_give_up(message, original)
     sent = message.SerializeToString()
-    heard = decode_give_up(peers_pb2.GiveUp.FromString(sent))
-    assert heard.key == told.key
-    assert heard.retry_after_s == pytest.approx(retry_s, abs=0.001)
-    outlook = heard.outlook
+    decoded = decode_give_up(peers_pb2.GiveUp.FromString(sent))
+    assert decoded.key == original.key
+    assert decoded.retry_after_s == pytest.approx(retry_s, abs=0.001)
+    outlook = decoded.outlook
     assert (outlook.ahead, outlook.rate, outlook.free) == (ahead, rate, free)
     assert outlook.wait_s == pytest.approx(min(wait_s, 3600), abs=0.001)
