--- a/packages/node/src/tallyhall_node/__init__.py
+++ b/packages/node/src/tallyhall_node/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions of one instance, free of I/O, threads and clocks.
+"""Decision logic of one instance, without I/O, threads or clocks.
 
-`Node` takes inputs and `now` and returns actions. The daemon carries the
-actions out; tests carry them out against fakes, in any order.
+`Node` receives inputs with the current time and returns actions. The daemon
+executes the actions; tests execute them against fakes, in any order.
 """
--- a/packages/node/src/tallyhall_node/actions.py
+++ b/packages/node/src/tallyhall_node/actions.py
@@ -1,4 +1,4 @@
-"""What a node wants done, and what it is told of the outcome."""
+"""Actions that a node returns, and the results reported back to it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to one incarnation, or to any at a seed address."""
+    """Send a message to an incarnation.
+
+    to: the incarnation; if empty, any incarnation at the address.
+    """
 
     address: str
     to: str
@@ -22,10 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartRun:
-    """Dispatch the request to the upstream; use the permit before `until`.
+    """Dispatch the request to the upstream; the permit expires at `until`.
 
-    resume: read the stream that the upstream already has for this id from
-    its start, and dispatch nothing.
+    resume: read the existing stream of this id at the upstream from its start
+    instead of dispatching the request.
     """
 
     id: str
@@ -37,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelRun:
-    """Stop a running request; its final answer is the refusal."""
+    """Stop a running request and answer the caller with the refusal."""
 
     id: str
     refusal: Refusal
@@ -45,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finish:
-    """Give the caller its final answer; nothing runs for this id here."""
+    """Answer the caller with a refusal; nothing runs for this id here."""
 
     id: str
     refusal: Refusal
@@ -53,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayTo:
-    """Pass the caller's request on to the instance that holds the id."""
+    """Relay the caller's request to the instance that handles the id."""
 
     id: str
     instance: str
@@ -62,19 +65,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProposeEdits:
-    """Change the assignment in the KV."""
+    """Apply edits to the assignment in the key-value store (KV)."""
 
     edits: tuple[Edit, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Restart:
-    """Start again as a new incarnation; this one has been fenced."""
+    """Restart as a new incarnation, because this one has been fenced."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Write a numbered event; fields are for people and the checkers."""
+    """Write an event with its fields to the log."""
 
     event: Event
     fields: dict[str, str | int | float | bool]
@@ -82,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Count:
-    """Add to a counter."""
+    """Increment a counter."""
 
     name: str
     amount: int = 1
@@ -105,8 +108,8 @@
 class Outcome(enum.StrEnum):
     """How a run ended.
 
-    not_sent: no byte was written to the upstream. broken: the answer is not
-    whole and cannot be. stopped: cancelled by us.
+    not_sent: no byte was written to the upstream. broken: the answer is
+    incomplete and cannot be completed. stopped: cancelled by this instance.
     """
 
     complete = 'complete'
@@ -118,9 +121,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunResult:
-    """The end of a run with its figures; times in seconds.
+    """Result and measurements of a run; times in seconds.
 
-    ended: whether nothing listens at the upstream any more.
+    shown: whether any of the answer was sent to the caller. ended: whether the
+    upstream no longer accepts connections.
     """
 
     id: str
@@ -137,10 +141,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """A caller's request as far as decisions need it.
+    """Properties of a caller's request that decisions depend on.
 
-    left_s: seconds to its deadline at submission. content: digest of what is
-    asked.
+    left_s: seconds until the deadline, counted from submission. content:
+    digest of the request's content.
     """
 
     workspace: str
--- a/packages/node/src/tallyhall_node/duties.py
+++ b/packages/node/src/tallyhall_node/duties.py
@@ -1,8 +1,8 @@
 """The member role: heartbeats, shared values, and owners for all services.
 
-Any live instance may give an ownerless service a new owner; the first in
-rendezvous order tries first, the others later, so that one write is usual
-and a race is harmless.
+Any live instance may propose an owner for a service that has none. They do so
+one after the other in rendezvous order, so usually only one writes; concurrent
+proposals are harmless.
 """
 
 from __future__ import annotations
@@ -16,22 +16,25 @@
 
 
 class MemberRole:
-    """Gossip and the duty to keep every service owned."""
+    """Gossips with peers and proposes an owner for each service without one."""
 
     def __init__(self, view: View, now: float) -> None:
-        """Start with nothing noticed.
+        """Initialize without any known peer.
 
-        An instance that has just started has heard of nobody yet, so it may
-        not call an owner dead before a dead one would be noticed at all.
+        An instance that has just started has received no heartbeats yet, so it
+        must not reposition an owner before the failure timeout has elapsed.
         """
         self._view = view
-        self._judges_from = now + view.cfg.members.dead_after
-        self._beaten: float | None = None
-        self._noticed: float | None = None
+        self._replaces_owners_from = now + view.cfg.members.dead_after
+        self._last_heartbeat: float | None = None
+        self._stagger_start: float | None = None
 
     def tick(self, now: float, window: int, load: int) -> list[Action]:
-        """Send heartbeats and take up duties that are due."""
-        return [*self._beat(now, window, load), *self._duties(now)]
+        """Send a heartbeat and propose owners if due."""
+        return [
+            *self._heartbeat_if_due(now, window, load),
+            *self._propose_owners(now),
+        ]
 
     def on_digest(
         self,
@@ -39,7 +42,7 @@
         digest: Digest,
         now: float,
     ) -> list[Action]:
-        """Take a heartbeat; ask for newer values that the sender holds."""
+        """Process a heartbeat; request values that are newer at the sender."""
         view = self._view
         view.members.merge(digest.members, now)
         missing = view.shared.to_ask_for(digest.revisions, now)
@@ -47,14 +50,14 @@
             return []
         return [Send(sender_address, '', Want(missing))]
 
-    def on_want(self, sender_address: str, want: Want) -> list[Action]:
-        """Send the shared values that a peer lacks."""
-        held: tuple[SharedValue, ...] = self._view.shared.select(want.names)
-        return [Send(sender_address, '', message) for message in held]
+    def on_value_request(self, sender_address: str, want: Want) -> list[Action]:
+        """Send the shared values that a peer requests."""
+        shared: tuple[SharedValue, ...] = self._view.shared.select(want.names)
+        return [Send(sender_address, '', message) for message in shared]
 
-    def beat_now(self, now: float) -> list[Action]:
-        """Send a heartbeat at once, for a change that others should know."""
-        self._beaten = now
+    def send_heartbeat(self, now: float) -> list[Action]:
+        """Send a heartbeat immediately, to announce a change."""
+        self._last_heartbeat = now
         members = self._view.members
         members.beat(
             epoch=self._view.assignment.epoch,
@@ -66,31 +69,33 @@
             Send(address, '', digest) for address in members.peers(seeds, now)
         ]
 
-    def _beat(self, now: float, window: int, load: int) -> list[Action]:
-        due = self._beaten is None or (
-            now - self._beaten >= self._view.cfg.beat_s
+    def _heartbeat_if_due(
+        self, now: float, window: int, load: int
+    ) -> list[Action]:
+        due = self._last_heartbeat is None or (
+            now - self._last_heartbeat >= self._view.cfg.beat_s
         )
         if not due:
             return []
         members = self._view.members
         members.beat(window=window, load=load)
         members.forget_old(now)
-        return self.beat_now(now)
+        return self.send_heartbeat(now)
 
-    def _duties(self, now: float) -> list[Action]:
+    def _propose_owners(self, now: float) -> list[Action]:
         edits = self._owner_edits(now)
         if not edits:
-            self._noticed = None
+            self._stagger_start = None
             return []
-        if self._noticed is None:
-            self._noticed = now
+        if self._stagger_start is None:
+            self._stagger_start = now
         candidates = rendezvous.rank('duty', self._view.candidates(now))
         me = self._view.home.instance
-        place = candidates.index(me) if me in candidates else len(candidates)
-        if now - self._noticed < place * self._view.cfg.duty_s:
+        position = candidates.index(me) if me in candidates else len(candidates)
+        if now - self._stagger_start < position * self._view.cfg.duty_s:
             return []
-        # Try again only after everybody else has had a turn.
-        self._noticed = now + len(candidates) * self._view.cfg.duty_s
+        # Retry only after every other candidate has had time to propose.
+        self._stagger_start = now + len(candidates) * self._view.cfg.duty_s
         return [ProposeEdits(edits)]
 
     def _owner_edits(self, now: float) -> tuple[OwnerEdit, ...]:
@@ -105,7 +110,7 @@
             entry = candidates.get(instance)
             if entry is not None and entry.incarnation == incarnation:
                 continue
-            if owner and now < self._judges_from:
+            if owner and now < self._replaces_owners_from:
                 continue
             chosen = rendezvous.rank(service.name, candidates)[0]
             successor = f'{chosen}.{candidates[chosen].incarnation}'
--- a/packages/node/src/tallyhall_node/home.py
+++ b/packages/node/src/tallyhall_node/home.py
@@ -1,10 +1,11 @@
-"""The home role: requests that this incarnation alone may dispatch.
-
-A request moves one way: waiting, running, finished. It goes back to waiting
-only when its run reports that no byte was written (or, for an idempotent
-call to a plain service, that the call failed before any of its answer was
-shown). Finished ids are kept until their window can no longer be submitted,
-so that an id is never taken for a new one.
+"""The home role: requests that only this incarnation may dispatch.
+
+The home of a request is the incarnation that received it. A request goes
+through the states waiting, running and finished. It returns to waiting only if
+its run reports that no byte was written (or, for an idempotent call to a plain
+service, that the call failed before any of its answer was sent to the caller).
+Finished ids are kept until ids of their window are no longer accepted, so that
+a resubmitted id is never mistaken for a new one.
 """
 
 from __future__ import annotations
@@ -33,29 +34,29 @@
     RunResult,
     StartRun,
 )
-from .quarantine import SeenEnds
-from .request import HomeRequest, State, log_of, reason_of
+from .quarantine import ObservedTerminations
+from .request import HomeRequest, State, request_event, refusal_reason
 from .retries import RetryBudget
 from .view import View
 
-_DRAIN_RETRY_S = 0.5
-_CLEAN_S = 1.0
+_RETRY_AFTER_S = 0.5
+_PRUNE_INTERVAL_S = 1.0
 
 
 class HomeRole:
-    """All requests whose home, or successor, is this incarnation."""
+    """Requests whose home, or the successor of it, is this incarnation."""
 
     def __init__(self, view: View) -> None:
-        """Start with no requests."""
+        """Initialize without requests."""
         self._view = view
         self._requests: dict[str, HomeRequest] = {}
         self._active: dict[str, HomeRequest] = {}
         cfg = view.cfg
-        self._cleaned: float = 0
-        # service -> epoch of the newest owner that has asked for a report
-        self._reported: dict[str, int] = {}
-        self._seen_ends = SeenEnds()
-        self._budget = RetryBudget(cfg.retry_share, cfg.retry_floor)
+        self._pruned_at: float = 0
+        # service -> epoch of the newest owner that has requested a report
+        self._owner_epochs: dict[str, int] = {}
+        self._terminations = ObservedTerminations()
+        self._retry_budget = RetryBudget(cfg.retry_ratio, cfg.initial_retries)
 
     @property
     def load(self) -> int:
@@ -63,10 +64,10 @@
         return len(self._active)
 
     def knows(self, request_id: str) -> bool:
-        """Return whether the id was submitted here and is remembered."""
+        """Return whether the id was submitted here and is still stored."""
         return request_id in self._requests
 
-    # -- from callers
+    # -- calls from callers
 
     def submit(
         self,
@@ -74,14 +75,14 @@
         spec: RequestSpec,
         now: float,
     ) -> list[Action]:
-        """Take a request that nobody has dispatched."""
+        """Accept a request that no instance has dispatched."""
         req = HomeRequest(rid, spec, now + spec.left_s)
         self._requests[str(rid)] = req
         self._active[str(rid)] = req
-        self._budget.earn()
+        self._retry_budget.record_request()
         return [
-            log_of(Event.admitted, req),
-            *self._ask(req, now),
+            request_event(Event.admitted, req),
+            *self._request_permit(req, now),
         ]
 
     def resume(
@@ -92,25 +93,25 @@
         address: str,
         now: float,
     ) -> list[Action]:
-        """Take a request that a fenced home had dispatched; only read it."""
+        """Accept a request that a fenced home dispatched; read its stream."""
         req = HomeRequest(rid, spec, now + spec.left_s, State.running)
         req.upstream = upstream
         req.resumed = True
         self._requests[str(rid)] = req
         self._active[str(rid)] = req
         return [
-            log_of(Event.resumed, req),
+            request_event(Event.resumed, req),
             StartRun(str(rid), upstream, address, req.deadline, resume=True),
         ]
 
     def cancel(self, request_id: str, now: float) -> list[Action]:
-        """Take that the caller is gone for good."""
+        """Cancel a request whose caller has disconnected for good."""
         req = self._active.get(request_id)
         if req is None:
             return []
         return self._stop(req, Refusal.of(Reason.cancelled), now)
 
-    # -- from owners
+    # -- messages from owners
 
     def on_permit(
         self,
@@ -118,19 +119,20 @@
         msg: Permit,
         now: float,
     ) -> list[Action]:
-        """Take a permit; the request is running from here on.
+        """Start the run that the owner has permitted.
 
-        Only the owner that was asked last may permit: an earlier one does
-        not know what its successor has started and shed.
+        Only a permit from the owner to which the latest request was sent is
+        valid: an earlier owner does not know which requests its successor has
+        started or shed.
         """
         req = self._requests.get(msg.id)
         if req is None or req.state == State.finished:
             withdraw = Withdraw(msg.id, msg.service)
-            owner = self._owner(msg.service, takeover=True, now=now)
+            owner = self._find_owner(msg.service, takeover=True, now=now)
             return self._view.send(owner, withdraw)
         if req.state != State.waiting or msg.attempt != req.attempt:
             return []
-        if sender != req.asked_owner:
+        if sender != req.requested_owner:
             withdraw = Withdraw(msg.id, msg.service)
             return [
                 Count('retry.stale_owner'),
@@ -138,43 +140,43 @@
             ]
         req.state = State.running
         req.upstream = msg.upstream
-        req.ends = msg.ends
+        req.terminations = msg.ends
         until = min(now + msg.valid_s, req.deadline)
         return [
-            log_of(Event.permitted, req),
+            request_event(Event.permitted, req),
             StartRun(msg.id, msg.upstream, msg.address, until),
         ]
 
-    def on_refused(
+    def on_permit_refused(
         self,
         sender: str,
         msg: AskRefused,
         now: float,
     ) -> list[Action]:
-        """Take the owner's refusal; it is final for a waiting request."""
+        """Finish a waiting request that the owner refuses."""
         req = self._active.get(msg.id)
         if req is None or req.state != State.waiting:
             return []
         if msg.attempt != req.attempt:
             return []
-        if sender != req.asked_owner:
+        if sender != req.requested_owner:
             return [Count('retry.stale_owner')]
         refusal = Refusal.of(msg.reason, retry_after=msg.retry_after_s)
         return self._finish(req, refusal, now)
 
     def on_not_owner(self, msg: NotOwner, now: float) -> list[Action]:
-        """Take that the asked instance is not the owner; ask again soon."""
+        """Schedule another permit request, as the receiver is not the owner."""
         req = self._active.get(msg.id)
         if req is None or req.state != State.waiting:
             return []
-        req.asked = now - self._view.cfg.reask_s / 2
+        req.permit_requested_at = now - self._view.cfg.reask_s / 2
         return [Count('retry.not_owner')]
 
     def on_revoke(self, msg: Revoke, now: float) -> list[Action]:
-        """Take the owner's order to stop a running request."""
+        """Stop a running request at the owner's order."""
         req = self._active.get(msg.id)
         if req is None:
-            owner = self._owner(msg.service, takeover=True, now=now)
+            owner = self._find_owner(msg.service, takeover=True, now=now)
             return self._view.send(owner, Withdraw(msg.id, msg.service))
         if req.state == State.waiting:
             return []
@@ -182,28 +184,28 @@
         refusal = Refusal.of(Reason.revoked, retry_after=wait)
         return self._stop(req, refusal, now)
 
-    def on_holding_wanted(
+    def on_running_report_request(
         self,
         sender: str,
         msg: HoldingWanted,
         now: float,
     ) -> list[Action]:
-        """Report everything running in the service to its new owner.
+        """Report the running requests of a service to its new owner.
 
-        From here on earlier owners are not listened to, else one of them
-        could start what the new owner never hears of.
+        Messages of earlier owners are ignored afterwards; otherwise one of
+        them could permit a run that the new owner does not know of.
         """
-        if msg.since < self._reported.get(msg.service, 0):
+        if msg.since < self._owner_epochs.get(msg.service, 0):
             return []
-        self._reported[msg.service] = msg.since
-        for waiting in self._active.values():
-            if waiting.spec.service != msg.service:
+        self._owner_epochs[msg.service] = msg.since
+        for active in self._active.values():
+            if active.spec.service != msg.service:
                 continue
-            if waiting.asked_owner != sender:
-                waiting.asked_owner = ''
+            if active.requested_owner != sender:
+                active.requested_owner = ''
         running = [
             running_of(
-                req.ask(self._view.me, now),
+                req.permit_request(self._view.me, now),
                 req.upstream,
                 max(0, req.deadline - now),
             )
@@ -215,14 +217,14 @@
             msg.since,
             self._view.me,
             tuple(running),
-            self._seen_ends.told(now),
+            self._terminations.report(now),
         )
         return self._view.send(sender, holding)
 
-    # -- from runs
+    # -- results of runs
 
     def on_result(self, run: RunResult, now: float) -> list[Action]:
-        """Take the end of a run."""
+        """Process the end of a run: complete, retry or refuse the request."""
         req = self._active.get(run.id)
         if req is None or req.state != State.running:
             return []
@@ -234,27 +236,27 @@
             req.attempt += 1
             req.avoid = run.upstream
             out.append(Count(f'retry.{run.outcome}'))
-            return [*out, *self._ask(req, now)]
-        reason = reason_of(run.outcome, late=now >= req.deadline)
-        refusal = Refusal.of(reason, retry_after=_DRAIN_RETRY_S)
-        return [*out, *self._finish(req, req.stopping or refusal, now)]
+            return [*out, *self._request_permit(req, now)]
+        reason = refusal_reason(run.outcome, late=now >= req.deadline)
+        refusal = Refusal.of(reason, retry_after=_RETRY_AFTER_S)
+        return [*out, *self._finish(req, req.stop_refusal or refusal, now)]
 
-    # -- time and changes
+    # -- timers and fencing
 
     def tick(self, now: float, window: int) -> list[Action]:
-        """Give up what is late, ask again, forget old windows."""
+        """Expire late requests, repeat permit requests, remove old requests."""
         out: list[Action] = []
         for req in list(self._active.values()):
             if now >= req.deadline:
                 out += self._give_up(req, now)
                 continue
             if req.state == State.waiting:
-                out += self._ask_again(req, now)
-        self._forget(now, window)
+                out += self._request_permit_again(req, now)
+        self._prune(now, window)
         return out
 
     def fence(self, now: float) -> list[Action]:
-        """End what waits here: a successor may run it from now on."""
+        """Refuse all waiting requests, which a successor may run from now."""
         out: list[Action] = []
         for req in list(self._active.values()):
             if req.state == State.waiting:
@@ -264,34 +266,39 @@
 
     # -- internals
 
-    def _ask(self, req: HomeRequest, now: float) -> list[Action]:
-        req.asked = now
-        owner = self._owner_for(req, now)
-        req.asked_owner = owner
+    def _request_permit(self, req: HomeRequest, now: float) -> list[Action]:
+        req.permit_requested_at = now
+        owner = self._owner_of(req, now)
+        req.requested_owner = owner
         if not owner:
             return []
-        return self._view.send(owner, req.ask(self._view.me, now))
+        return self._view.send(owner, req.permit_request(self._view.me, now))
 
-    def _ask_again(self, req: HomeRequest, now: float) -> list[Action]:
-        owner = self._owner_for(req, now)
+    def _request_permit_again(
+        self, req: HomeRequest, now: float
+    ) -> list[Action]:
+        owner = self._owner_of(req, now)
         if not owner and self._view.kv_down(now) and req.rid.takeover:
-            # A deputy may serve only ids that no taker can ask about.
+            # A deputy may serve only ids that cannot be taken over.
             refusal = Refusal.of(
                 Reason.owner_unreachable,
-                retry_after=_DRAIN_RETRY_S,
+                retry_after=_RETRY_AFTER_S,
             )
             return self._finish(req, refusal, now)
-        unanswered = now - req.asked >= self._view.cfg.reask_s
-        if owner == req.asked_owner and not unanswered:
+        unanswered = now - req.permit_requested_at >= self._view.cfg.reask_s
+        if owner == req.requested_owner and not unanswered:
             return []
-        return [Count('retry.reask'), *self._ask(req, now)]
+        return [Count('retry.reask'), *self._request_permit(req, now)]
 
-    def _owner_for(self, req: HomeRequest, now: float) -> str:
-        return self._owner(req.spec.service, takeover=req.rid.takeover, now=now)
+    def _owner_of(self, req: HomeRequest, now: float) -> str:
+        return self._find_owner(
+            req.spec.service, takeover=req.rid.takeover, now=now
+        )
 
-    def _owner(self, service: str, *, takeover: bool, now: float) -> str:
-        if self._view.since(service) < self._reported.get(service, 0):
-            # The newest owner is known, its assignment is on its way.
+    def _find_owner(self, service: str, *, takeover: bool, now: float) -> str:
+        if self._view.owner_since(service) < self._owner_epochs.get(service, 0):
+            # A newer owner has sent a message, but the assignment that
+            # names it has not arrived yet.
             return ''
         owner = self._view.owner_of(service)
         if owner and self._view.is_home_live(owner, now):
@@ -306,9 +313,9 @@
         run: RunResult,
         now: float,
     ) -> list[Action]:
-        done = req.done(run)
-        self._seen_ends.note(done, now)
-        return self._view.send(self._owner_for(req, now), done)
+        returned = req.permit_return(run)
+        self._terminations.record(returned, now)
+        return self._view.send(self._owner_of(req, now), returned)
 
     def _may_retry(
         self,
@@ -316,7 +323,7 @@
         run: RunResult,
         now: float,
     ) -> bool:
-        if req.stopping or req.resumed or now >= req.deadline:
+        if req.stop_refusal or req.resumed or now >= req.deadline:
             return False
         if run.outcome != Outcome.not_sent:
             plain = not req.spec.prompt_tokens
@@ -326,22 +333,22 @@
                 return False
         if req.attempt >= self._view.cfg.max_retries:
             return False
-        return self._budget.spend()
+        return self._retry_budget.try_retry()
 
     def _give_up(self, req: HomeRequest, now: float) -> list[Action]:
         if req.state == State.waiting:
             withdraw = Withdraw(str(req.rid), req.spec.service)
             refusal = Refusal.of(
                 Reason.deadline_exceeded,
-                retry_after=_DRAIN_RETRY_S,
+                retry_after=_RETRY_AFTER_S,
             )
             return [
-                *self._view.send(self._owner_for(req, now), withdraw),
+                *self._view.send(self._owner_of(req, now), withdraw),
                 *self._finish(req, refusal, now),
             ]
         refusal = Refusal.of(
             Reason.deadline_exceeded_running,
-            retry_after=_DRAIN_RETRY_S,
+            retry_after=_RETRY_AFTER_S,
         )
         return self._stop(req, refusal, now)
 
@@ -354,14 +361,14 @@
         if req.state == State.waiting:
             withdraw = Withdraw(str(req.rid), req.spec.service)
             return [
-                *self._view.send(self._owner_for(req, now), withdraw),
+                *self._view.send(self._owner_of(req, now), withdraw),
                 *self._finish(req, refusal, now),
             ]
-        if req.stopping:
+        if req.stop_refusal:
             return []
-        req.stopping = refusal
+        req.stop_refusal = refusal
         return [
-            log_of(Event.revoked, req, reason=refusal.reason),
+            request_event(Event.revoked, req, reason=refusal.reason),
             Count(f'refused.{refusal.reason}'),
             CancelRun(str(req.rid), refusal),
         ]
@@ -372,9 +379,9 @@
         run: RunResult,
         now: float,
     ) -> list[Action]:
-        self._end(req, now)
+        self._mark_finished(req, now)
         return [
-            log_of(
+            request_event(
                 Event.finished,
                 req,
                 output_tokens=run.output_tokens,
@@ -390,32 +397,32 @@
         refusal: Refusal,
         now: float,
     ) -> list[Action]:
-        self._end(req, now)
+        self._mark_finished(req, now)
         out: list[Action] = [
-            log_of(
+            request_event(
                 Event.refused,
                 req,
                 reason=refusal.reason,
                 executed=refusal.executed,
             ),
         ]
-        if not req.stopping:
+        if not req.stop_refusal:
             out.append(Count(f'refused.{refusal.reason}'))
             out.append(Finish(str(req.rid), refusal))
         return out
 
-    def _end(self, req: HomeRequest, now: float) -> None:
+    def _mark_finished(self, req: HomeRequest, now: float) -> None:
         req.state = State.finished
-        req.ended = now
+        req.finished_at = now
         self._active.pop(str(req.rid), None)
 
-    def _forget(self, now: float, window: int) -> None:
-        if now - self._cleaned < _CLEAN_S:
+    def _prune(self, now: float, window: int) -> None:
+        if now - self._pruned_at < _PRUNE_INTERVAL_S:
             return
-        self._cleaned = now
+        self._pruned_at = now
         keep_s = self._view.cfg.window_s * 2
         for request_id, req in list(self._requests.items()):
-            if req.state != State.finished or now - req.ended < keep_s:
+            if req.state != State.finished or now - req.finished_at < keep_s:
                 continue
             own = req.rid.home == self._view.home
             if not own or req.rid.window < window - 1:
--- a/packages/node/src/tallyhall_node/instances.py
+++ b/packages/node/src/tallyhall_node/instances.py
@@ -1,4 +1,4 @@
-"""The instance list in the form that instances share."""
+"""The list of upstreams and instances, as shared between instances."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class ListedUpstream:
-    """One endpoint of a service."""
+    """One upstream of a service; `leaving` if it accepts no new requests."""
 
     service: str
     name: str
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True)
 class InstanceList:
-    """All listed upstreams, and the rpc addresses of entry instances."""
+    """All listed upstreams, and the RPC addresses of the entry instances."""
 
     upstreams: tuple[ListedUpstream, ...] = ()
     entries: tuple[str, ...] = ()
 
-    def of(self, service: str) -> tuple[UpstreamInfo, ...]:
-        """Return a service's upstreams in order of name."""
+    def upstreams_of(self, service: str) -> tuple[UpstreamInfo, ...]:
+        """Return the upstreams of a service, sorted by name."""
         found = [
             UpstreamInfo(up.name, up.address, up.leaving)
             for up in self.upstreams
@@ -38,16 +38,16 @@
 
 
 class BadInstanceListError(ValueError):
-    """A text that is no instance list."""
+    """The text is not a valid instance list."""
 
 
 def encode(instances: InstanceList) -> str:
-    """Return the JSON text that travels between instances."""
+    """Encode the list as JSON."""
     return _ADAPTER.dump_json(instances).decode()
 
 
 def decode(text: str) -> InstanceList:
-    """Read the JSON text; raise BadInstanceListError."""
+    """Decode the list from JSON; raise BadInstanceListError if invalid."""
     try:
         return _ADAPTER.validate_json(text)
     except pydantic.ValidationError as exc:
--- a/packages/node/src/tallyhall_node/node.py
+++ b/packages/node/src/tallyhall_node/node.py
@@ -1,8 +1,8 @@
-"""One instance's decisions, composed of its roles.
+"""Decision logic of one instance, composed of its roles.
 
 Inputs are method calls with `now`, the runtime's monotonic clock in seconds;
-outputs are actions. Nothing here blocks. The daemon calls it from a single
-actor, so no two calls overlap.
+outputs are actions. Nothing here blocks. The daemon calls the node from a
+single actor, so calls never overlap.
 """
 
 from __future__ import annotations
@@ -49,13 +49,16 @@
 from .orders import ControllerRole, Order
 from .owner import OwnerRole
 from .settings import NodeSettings
-from .takeover import TakerRole
+from .takeover import TakeoverRole
 from .view import View
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LocatedEntry:
-    """One entry of a locate answer."""
+    """One instance in a locate response.
+
+    prefix: the start of the request ids that callers generate for it.
+    """
 
     instance: str
     http: str
@@ -65,7 +68,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submission:
-    """What became of a submitted request: its id and the actions."""
+    """Result of submitting a request.
+
+    attached: whether the id was known, so that the caller joins that request.
+    """
 
     id: str
     attached: bool
@@ -73,7 +79,7 @@
 
 
 class Node:
-    """All roles of one incarnation."""
+    """Runs all roles of one incarnation."""
 
     def __init__(
         self,
@@ -81,19 +87,19 @@
         cfg: NodeSettings,
         now: float,
     ) -> None:
-        """Start as a member that knows nobody."""
+        """Initialize as a member without known peers."""
         self.view = View(own, cfg)
         self.home = HomeRole(self.view)
         self.owner = OwnerRole(self.view)
-        self.taker = TakerRole(self.view, self.home)
+        self.takeovers = TakeoverRole(self.view, self.home)
         self.controller = ControllerRole(self.view)
         self.member = MemberRole(self.view, now)
         self.leaving = False
         self.fenced = False
-        self._born = now
+        self._started_at = now
         self._last_input = now
 
-    # -- from callers
+    # -- calls from callers
 
     def submit(
         self,
@@ -101,16 +107,16 @@
         spec: RequestSpec,
         now: float,
     ) -> Submission:
-        """Take a caller's request, new or sent again."""
+        """Submit a caller's request, new or repeated."""
         view = self.view
-        self._note_time(now)
+        self._detect_pause(now)
         if not view.ready:
             return _refused(
-                str(request_id or self._mint(now)),
+                str(request_id or self._generate_id(now)),
                 Reason.not_ready,
             )
         if request_id is None:
-            rid = self._mint(now)
+            rid = self._generate_id(now)
             return Submission(
                 str(rid),
                 attached=False,
@@ -120,15 +126,15 @@
         if self.home.knows(text):
             return Submission(text, attached=True, actions=[])
         if request_id.home != view.home:
-            actions = self.taker.start(request_id, spec, now)
+            actions = self.takeovers.start(request_id, spec, now)
             return Submission(text, attached=False, actions=actions)
         if self.fenced:
             return _refused(text, Reason.fenced)
         if request_id.window < self.window(now) - 1:
-            # Old enough to have been answered and forgotten.
+            # The request may have been answered and removed already.
             return _refused(text, Reason.takeover_unknown)
-        fresh = request_id.window <= self.window(now)
-        if not fresh or request_id.epoch > view.assignment.epoch:
+        is_current = request_id.window <= self.window(now)
+        if not is_current or request_id.epoch > view.assignment.epoch:
             return _refused(text, Reason.bad_request_id)
         return Submission(
             text,
@@ -137,20 +143,20 @@
         )
 
     def cancel(self, request_id: str, now: float) -> list[Action]:
-        """Take that the caller is gone for good."""
+        """Cancel a request whose caller has disconnected for good."""
         return self.home.cancel(request_id, now)
 
     def locate(self, key: str, now: float) -> list[LocatedEntry]:
-        """Return the entries that a caller may use, best first."""
+        """Return the instances that a caller may use, best first."""
         candidates = {
             name: entry
             for name, entry in self.view.candidates(now).items()
             if entry.table
         }
         loads = [entry.load for entry in candidates.values()]
-        busy = 2 * sum(loads) / max(len(loads), 1) + 8
+        overload = 2 * sum(loads) / max(len(loads), 1) + 8
         order = rendezvous.rank(key, candidates)
-        order.sort(key=lambda name: candidates[name].load > busy)
+        order.sort(key=lambda name: candidates[name].load > overload)
         down = self.view.kv_down(now)
         return [
             LocatedEntry(
@@ -162,10 +168,10 @@
             for name in order
         ]
 
-    # -- from runs
+    # -- results of runs
 
     def on_result(self, run: RunResult, now: float) -> list[Action]:
-        """Take the end of a run."""
+        """Process the end of a run."""
         return self.home.on_result(run, now)
 
     def report_progress(
@@ -173,7 +179,7 @@
         reports: tuple[Progress, ...],
         now: float,
     ) -> list[Action]:
-        """Pass on to the owners how fast the open streams go."""
+        """Forward the measured speeds of open streams to the owners."""
         out: list[Action] = []
         for report in reports:
             owner = self.view.owner_of(report.service)
@@ -187,14 +193,14 @@
         instance: str,
         now: float,
     ) -> list[Action]:
-        """Take that a relay could not connect."""
-        return self.taker.on_relay_failed(rid, spec, instance, now)
+        """Process that a relay could not connect to the instance."""
+        return self.takeovers.on_relay_failed(rid, spec, instance, now)
 
-    # -- from the platform
+    # -- events from the platform
 
     def on_value(self, offered: SharedValue, now: float) -> list[Action]:
-        """Take a shared value from the platform or a peer."""
-        if not self.view.take(offered):
+        """Apply a shared value from the platform or a peer if it is newer."""
+        if not self.view.accept(offered):
             return []
         log = LogEvent(
             Event.value_taken,
@@ -205,22 +211,22 @@
         if offered.name == INSTANCES:
             self.owner.on_instances()
         if offered.name != ASSIGNMENT:
-            return [log, *self.member.beat_now(now)]
+            return [log, *self.member.send_heartbeat(now)]
         return [
             log,
             *self._check_fenced(now),
             *self.owner.on_assignment(now),
-            *self.taker.on_assignment(now),
+            *self.takeovers.on_assignment(now),
             *self.home.tick(now, self.window(now)),
-            *self.member.beat_now(now),
+            *self.member.send_heartbeat(now),
         ]
 
     def on_edits_failed(self, now: float) -> list[Action]:
-        """Take that a change of the assignment could not be made."""
-        return self.taker.on_edits_failed(now)
+        """Process that proposed edits could not be applied."""
+        return self.takeovers.on_edits_failed(now)
 
     def on_kv(self, *, up: bool) -> None:
-        """Take whether the KV answers this instance."""
+        """Record whether this instance can reach the KV."""
         if self.view.members.own.kv_up != up:
             self.view.members.beat(kv_up=up)
 
@@ -231,19 +237,19 @@
         requests: float,
         cache_tokens: int,
     ) -> None:
-        """Take an upstream's own load report."""
+        """Process the load that an upstream reports."""
         self.owner.on_load(service, upstream, requests, cache_tokens)
 
     def orders_due(self, now: float) -> tuple[Order, ...]:
-        """Return the orders to engines that are due."""
-        return self.controller.due(self.owner.services(), now)
+        """Return the orders to engines that are due now."""
+        return self.controller.due_orders(self.owner.services(), now)
 
     def on_peer_down(self, address: str) -> list[Action]:
-        """Take that nothing listens at a peer's address."""
+        """Suspect a peer whose address refuses connections."""
         self.view.members.suspect_address(address)
         return [Count('peer_unreachable')]
 
-    # -- from peers
+    # -- messages from peers
 
     def on_message(  # noqa: WPS212, WPS231, C901
         self,
@@ -252,67 +258,67 @@
         message: Message,
         now: float,
     ) -> list[Action]:
-        """Take a message; one branch a kind, so that mypy sees them all."""
-        self._note_time(now)
+        """Process a message; mypy checks that all types are handled."""
+        self._detect_pause(now)
         match message:  # noqa: WPS242
             case Ask():
-                return self.owner.on_ask(sender, message, now)
+                return self.owner.on_permit_request(sender, message, now)
             case Permit():
                 return self.home.on_permit(sender, message, now)
             case AskRefused():
-                return self.home.on_refused(sender, message, now)
+                return self.home.on_permit_refused(sender, message, now)
             case NotOwner():
                 return self.home.on_not_owner(message, now)
             case Withdraw():
-                return self.owner.on_withdraw(message, now)
+                return self.owner.on_permit_request_cancelled(message, now)
             case Done():
-                return self.owner.on_done(message, now)
+                return self.owner.on_permit_returned(message, now)
             case Progress():
                 return self.owner.on_progress(message, now)
             case Revoke():
                 return self.home.on_revoke(message, now)
             case Holding():
-                return self.owner.on_holding(message, now)
+                return self.owner.on_running_report(message, now)
             case HoldingWanted():
-                return self.home.on_holding_wanted(sender, message, now)
+                return self.home.on_running_report_request(sender, message, now)
             case Query():
-                return self._on_query(sender, message, now)
+                return self._on_takeover_query(sender, message, now)
             case QueryAnswer():
-                return self.taker.on_answer(message, now)
+                return self.takeovers.on_query_response(message, now)
             case Digest():
                 return self.member.on_digest(sender_address, message, now)
             case Want():
-                return self.member.on_want(sender_address, message)
+                return self.member.on_value_request(sender_address, message)
             case SharedValue():
                 return self.on_value(message, now)
 
-    # -- time and leaving
+    # -- timers and shutdown
 
     def tick(self, now: float) -> list[Action]:
-        """Run all clocks; call it a few times a second."""
-        self._note_time(now)
+        """Run all timers; to be called a few times per second."""
+        self._detect_pause(now)
         window = self.window(now)
         return [
             *self.member.tick(now, window, self.home.load),
             *self.owner.tick(now),
-            *self.taker.tick(now),
+            *self.takeovers.tick(now),
             *self.home.tick(now, window),
         ]
 
     def leave(self, now: float) -> list[Action]:
-        """Start a graceful stop: no new callers, ownership to others."""
+        """Start a graceful stop: no new callers, ownership is handed over."""
         self.leaving = True
         self.view.members.beat(state='leaving')
-        return self.member.beat_now(now)
+        return self.member.send_heartbeat(now)
 
     def gone(self, now: float) -> list[Action]:
-        """Say the last word before the process exits."""
+        """Announce the exit of the process to all peers."""
         self.view.members.beat(state='gone')
-        return self.member.beat_now(now)
+        return self.member.send_heartbeat(now)
 
     def is_drained(self, now: float) -> bool:
-        """Return whether nothing here would be cut off by an exit."""
-        if self.home.load or self.taker.load:
+        """Return whether the process can exit without interrupting requests."""
+        if self.home.load or self.takeovers.pending:
             return False
         others = self.view.candidates(now)
         if not others or self.view.kv_down(now):
@@ -320,20 +326,20 @@
         return not self.owner.services()
 
     def window(self, now: float) -> int:
-        """Return the number of the present minting window."""
-        return int((now - self._born) / self.view.cfg.window_s)
+        """Return the number of the current time window for new ids."""
+        return int((now - self._started_at) / self.view.cfg.window_s)
 
     # -- internals
 
-    def _note_time(self, now: float) -> None:
-        # A process that stood still for a while may have been replaced as an
-        # owner, and what it knows of the running work is old. One that is
-        # only busy gets its inputs late but without such a gap.
+    def _detect_pause(self, now: float) -> None:
+        # A paused process may have been replaced as an owner, and its record
+        # of the running requests is outdated. A process that is only busy
+        # receives its inputs late but without such a gap.
         if now - self._last_input > self.view.cfg.pause_s:
             self.owner.suspend(now)
         self._last_input = now
 
-    def _mint(self, now: float) -> RequestId:
+    def _generate_id(self, now: float) -> RequestId:
         return RequestId.mint(
             self.view.home,
             self.view.assignment.epoch,
@@ -351,19 +357,19 @@
             Restart(),
         ]
 
-    def _on_query(
+    def _on_takeover_query(
         self,
         sender: str,
         query: Query,
         now: float,
     ) -> list[Action]:
         try:
-            carried = assignments.decode(query.assignment)
+            received = assignments.decode(query.assignment)
         except assignments.BadAssignmentError:
             return [Count('bad_message')]
-        offered = SharedValue(ASSIGNMENT, carried.epoch, query.assignment)
+        offered = SharedValue(ASSIGNMENT, received.epoch, query.assignment)
         out = self.on_value(offered, now)
-        return [*out, *self.owner.on_query(sender, query, now)]
+        return [*out, *self.owner.on_takeover_query(sender, query, now)]
 
 
 def _refused(request_id: str, reason: Reason) -> Submission:
--- a/packages/node/src/tallyhall_node/orders.py
+++ b/packages/node/src/tallyhall_node/orders.py
@@ -1,8 +1,9 @@
-"""The controller role: which engines are to load which model.
+"""The controller role: orders engines to load the configured model.
 
-The owner of a service orders each of its engines that reports another model
-than the table names. An order carries the epoch of the owner's tenure as its
-fencing number, so that engines that check it refuse an earlier owner.
+The owner of a service sends an order to each engine of it that reports a model
+other than the one in the table. The fencing number of an order is the epoch in
+which the owner was assigned, so that engines that check it reject orders of
+earlier owners.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order for one engine.
+    """An order to one engine to load a model.
 
-    checks_fencing: whether the engine refuses an old number itself; if not,
-    the sender must hold the service's lease.
+    checks_fencing: whether the engine rejects outdated fencing numbers; if
+    not, the sender must hold the lease of the service.
     """
 
     service: str
@@ -31,34 +32,36 @@
 
 
 class ControllerRole:
-    """Orders that are due for the services owned here."""
+    """Determines the orders for the services that this incarnation owns."""
 
     def __init__(self, view: View) -> None:
-        """Start without any report."""
+        """Initialize without reports of engines."""
         self._view = view
         self._models: dict[str, str] = {}
-        self._ordered: dict[tuple[str, str], float] = {}
+        self._ordered_at: dict[tuple[str, str], float] = {}
 
     def on_model(self, upstream: str, model: str) -> None:
-        """Take the model that an engine reports, with its usual lag."""
+        """Record the model that an engine reports; reports may lag behind."""
         self._models[upstream] = model
 
-    def due(self, services: tuple[str, ...], now: float) -> tuple[Order, ...]:
-        """Return the orders to send now; each is repeated only slowly."""
+    def due_orders(
+        self, services: tuple[str, ...], now: float
+    ) -> tuple[Order, ...]:
+        """Return the orders to send now, each once per retry interval."""
         orders: list[Order] = []
         for service in services:
             row = self._view.table.service(service)
             if row is not None and row.kind == 'model' and row.model:
-                orders += self._due_in(row, now)
+                orders += self._due_for(row, now)
         return tuple(orders)
 
-    def _due_in(self, row: ServiceRow, now: float) -> list[Order]:
+    def _due_for(self, row: ServiceRow, now: float) -> list[Order]:
         orders = []
-        for info in self._view.instances.of(row.name):
+        for info in self._view.instances.upstreams_of(row.name):
             reported = self._models.get(info.name)
             if info.leaving or reported in {None, row.model}:
                 continue
-            if not self._may_order(info.name, row.model, now):
+            if not self._record_if_due(info.name, row.model, now):
                 continue
             orders.append(
                 Order(
@@ -66,15 +69,15 @@
                     info.name,
                     info.address,
                     row.model,
-                    self._view.since(row.name),
+                    self._view.owner_since(row.name),
                     row.checks_fencing,
                 ),
             )
         return orders
 
-    def _may_order(self, upstream: str, model: str, now: float) -> bool:
-        last = self._ordered.get((upstream, model))
-        if last is not None and now - last < self._view.cfg.order_repeat_s:
+    def _record_if_due(self, upstream: str, model: str, now: float) -> bool:
+        last = self._ordered_at.get((upstream, model))
+        if last is not None and now - last < self._view.cfg.order_retry_s:
             return False
-        self._ordered[(upstream, model)] = now
+        self._ordered_at[(upstream, model)] = now
         return True
--- a/packages/node/src/tallyhall_node/quarantine.py
+++ b/packages/node/src/tallyhall_node/quarantine.py
@@ -1,8 +1,8 @@
-"""What an owner knows of calls under which upstreams end.
+"""Quarantine of calls that were running when upstreams terminated.
 
-The owner permits all calls of its services, so it alone decides that attempts
-of a suspect run one at a time and when one is given up. Homes keep what they
-saw and tell it to a new owner.
+The owner permits all calls of its services, so it alone ensures that attempts
+of a suspected call run one at a time, and decides when such a call is refused.
+Homes store the terminations that they observed and report them to a new owner.
 """
 
 from __future__ import annotations
@@ -19,10 +19,11 @@
     Verdict,
 )
 
-# Told to a caller while another attempt of the same call runs, in seconds.
-_TRIED_S = 1.0
-# What a home keeps for a new owner; an upstream that ends brings a few.
-_MOST_SEEN = 500
+# Retry-After, in seconds, while another attempt of the same call runs.
+_CONCURRENT_RETRY_S = 1.0
+# Maximum number of terminations that a home stores for a new owner; each
+# terminated upstream adds a few.
+_MAX_OBSERVED = 500
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,60 +33,67 @@
 
 
 class Quarantine:
-    """Calls that were at the end of upstreams, at their owner."""
+    """Tracks, at the owner, calls that may terminate upstreams."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize without records."""
         self._suspects = Suspects()
-        # The attempt of each suspect that may run now.
+        # Content of each suspected call -> its attempt that may run now.
         self._running: dict[str, _Attempt] = {}
 
-    def ends(self, ask: Ask, now: float) -> int:
-        """Return at how many ends a call was."""
-        return self._suspects.standing(ask.content, now).ends
+    def termination_count(self, request: Ask, now: float) -> int:
+        """Return the number of terminations during runs of a call."""
+        return self._suspects.standing(request.content, now).ends
 
-    def wait_s(self, ask: Ask, now: float) -> float:
-        """Return how long a call is given up, 0 if it may run.
+    def try_start(self, request: Ask, now: float) -> float:
+        """Return for how many seconds a call is refused, 0 if it may run.
 
-        One that was at an end holds up its like until it is done.
+        While an attempt of a suspected call runs, other attempts with the same
+        content are refused.
         """
-        standing = self._suspects.standing(ask.content, now)
+        standing = self._suspects.standing(request.content, now)
         if standing.verdict is Verdict.given_up:
             return standing.wait_s
         if not standing.ends:
             return 0
-        running = self._running.get(ask.content)
-        if running is not None and running.request_id != ask.id:
+        running = self._running.get(request.content)
+        if running is not None and running.request_id != request.id:
             if now < running.until:
-                return _TRIED_S
-        self._running[ask.content] = _Attempt(ask.id, now + ask.left_s)
+                return _CONCURRENT_RETRY_S
+        self._running[request.content] = _Attempt(
+            request.id, now + request.left_s
+        )
         return 0
 
-    def done(self, done: Done, now: float) -> None:
-        """Take how an attempt ended."""
-        self.drop(done.id)
-        if not done.content:
-            # A home of an earlier version does not tell what was asked.
+    def record_result(self, returned: Done, now: float) -> None:
+        """Record the result of an attempt."""
+        self.remove_attempt(returned.id)
+        if not returned.content:
+            # Homes of earlier versions do not send the content digest.
             return
-        if done.ended:
-            self._take(done.upstream, done.content, done.ends, now, now)
-        elif done.ok:
-            self._suspects.served(done.content, now)
-
-    def drop(self, request_id: str) -> None:
-        """Take that an attempt does not run."""
+        if returned.ended:
+            self._record(
+                returned.upstream, returned.content, returned.ends, now, now
+            )
+        elif returned.ok:
+            self._suspects.served(returned.content, now)
+
+    def remove_attempt(self, request_id: str) -> None:
+        """Record that an attempt is not running."""
         self._running = {
             content: attempt
             for content, attempt in self._running.items()
             if attempt.request_id != request_id
         }
 
-    def seen(self, told: EndSeen, now: float) -> None:
-        """Take what a home saw under an earlier owner."""
-        at_s = now - told.age_s
-        self._take(told.upstream, told.content, told.ends, at_s, now)
+    def record_observed(self, observed: EndSeen, now: float) -> None:
+        """Record a termination that a home observed under an earlier owner."""
+        at_s = now - observed.age_s
+        self._record(
+            observed.upstream, observed.content, observed.ends, at_s, now
+        )
 
-    def _take(
+    def _record(
         self,
         upstream: str,
         content: str,
@@ -97,25 +105,28 @@
         self._suspects.take_end(UpstreamEnd(upstream, at_s, (run,)), now)
 
 
-class SeenEnds:
-    """The ends that a home saw, for an owner that knows nothing yet."""
+class ObservedTerminations:
+    """Terminations that a home observed, to be reported to a new owner."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._seen: collections.deque[tuple[float, EndSeen]] = (
-            collections.deque(maxlen=_MOST_SEEN)
+        """Initialize without records."""
+        self._observed: collections.deque[tuple[float, EndSeen]] = (
+            collections.deque(maxlen=_MAX_OBSERVED)
         )
 
-    def note(self, done: Done, now: float) -> None:
-        """Keep what the end of a run showed."""
-        if done.ended:
-            seen = EndSeen(done.content, done.upstream, done.ends, 0)
-            self._seen.append((now, seen))
-
-    def told(self, now: float) -> tuple[EndSeen, ...]:
-        """Return what is not forgotten, by its age."""
-        while self._seen and self._seen[0][0] <= now - KEPT_S:
-            self._seen.popleft()
+    def record(self, returned: Done, now: float) -> None:
+        """Store the termination of an upstream, if the run ended by one."""
+        if returned.ended:
+            seen = EndSeen(
+                returned.content, returned.upstream, returned.ends, 0
+            )
+            self._observed.append((now, seen))
+
+    def report(self, now: float) -> tuple[EndSeen, ...]:
+        """Return the terminations that have not expired, with their ages."""
+        while self._observed and self._observed[0][0] <= now - KEPT_S:
+            self._observed.popleft()
         return tuple(
-            dataclasses.replace(seen, age_s=now - at) for at, seen in self._seen
+            dataclasses.replace(seen, age_s=now - at)
+            for at, seen in self._observed
         )
--- a/packages/node/src/tallyhall_node/request.py
+++ b/packages/node/src/tallyhall_node/request.py
@@ -1,4 +1,4 @@
-"""One request at its home: its state and the messages about it."""
+"""State of a request at its home, and the messages sent for it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @enum.unique
 class State(enum.StrEnum):
-    """The states of a request, in their only order."""
+    """States of a request, in order."""
 
     waiting = 'waiting'
     running = 'running'
@@ -24,25 +24,25 @@
 
 @dataclasses.dataclass(slots=True)
 class HomeRequest:
-    """One request of this home."""
+    """A request whose home is this incarnation."""
 
     rid: RequestId
     spec: RequestSpec
     deadline: float
     state: State = State.waiting
     attempt: int = 0
-    asked: float = 0
-    asked_owner: str = ''
+    permit_requested_at: float = 0
+    requested_owner: str = ''
     upstream: str = ''
     avoid: str = ''
-    # At how many ends its like was when it was permitted.
-    ends: int = 0
-    stopping: Refusal | None = None
+    # Terminations during runs of this content, as stated in the permit.
+    terminations: int = 0
+    stop_refusal: Refusal | None = None
     resumed: bool = False
-    ended: float = 0
+    finished_at: float = 0
 
-    def ask(self, holder: str, now: float) -> Ask:
-        """Return the ask for a permit; `holder` is this incarnation."""
+    def permit_request(self, holder: str, now: float) -> Ask:
+        """Return the permit request; `holder` is this incarnation."""
         spec = self.spec
         return Ask(
             id=str(self.rid),
@@ -60,8 +60,8 @@
             content=spec.content,
         )
 
-    def done(self, run: RunResult) -> Done:
-        """Return the message that takes the permit back to its owner."""
+    def permit_return(self, run: RunResult) -> Done:
+        """Return the message that returns the permit to the owner."""
         return Done(
             run.id,
             self.spec.service,
@@ -77,12 +77,12 @@
             output_tokens=run.output_tokens,
             ended=run.ended,
             content=self.spec.content,
-            ends=self.ends + 1,
+            ends=self.terminations + 1,
         )
 
 
-def reason_of(outcome: Outcome, *, late: bool) -> Reason:
-    """Return why a request is refused whose run came to this end."""
+def refusal_reason(outcome: Outcome, *, late: bool) -> Reason:
+    """Return the reason to refuse a request after a run with this outcome."""
     if outcome == Outcome.not_sent:
         return Reason.deadline_exceeded if late else Reason.no_upstream
     if outcome == Outcome.failed:
@@ -90,12 +90,12 @@
     return Reason.upstream_broken
 
 
-def log_of(
+def request_event(
     event: Event,
     req: HomeRequest,
     **fields: str | float | bool,
 ) -> LogEvent:
-    """Return a log event with the request's usual fields."""
+    """Return a log event with the common fields of a request."""
     return LogEvent(
         event,
         {
--- a/packages/node/src/tallyhall_node/retries.py
+++ b/packages/node/src/tallyhall_node/retries.py
@@ -1,27 +1,27 @@
-"""A retry budget: retries stay a small share of first tries.
+"""A retry budget: limits retries to a small fraction of the requests.
 
-Without it, retries multiply load exactly when upstreams are failing.
+Without it, retries multiply the load just when upstreams are failing.
 """
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """Each request earns a share of a retry, up to a burst."""
+    """Token bucket of retries; each request adds a fraction of a token."""
 
-    def __init__(self, share: float, floor: float) -> None:
-        """Earn `share` of a retry for each request; start with `floor`."""
-        self._share = share
-        self._burst = max(floor, 1)
-        self._level = self._burst
+    def __init__(self, ratio: float, initial: float) -> None:
+        """Add `ratio` retries per request, starting with `initial` retries."""
+        self._ratio = ratio
+        self._burst = max(initial, 1)
+        self._available = self._burst
 
-    def earn(self) -> None:
-        """Count a first try."""
-        self._level = min(self._burst * 10, self._level + self._share)
+    def record_request(self) -> None:
+        """Add to the budget for a new request."""
+        self._available = min(self._burst * 10, self._available + self._ratio)
 
-    def spend(self) -> bool:
-        """Take one retry; return whether the budget allowed it."""
-        if self._level < 1:
+    def try_retry(self) -> bool:
+        """Consume one retry; return whether the budget allowed it."""
+        if self._available < 1:
             return False
-        self._level -= 1
+        self._available -= 1
         return True
--- a/packages/node/src/tallyhall_node/settings.py
+++ b/packages/node/src/tallyhall_node/settings.py
@@ -1,4 +1,4 @@
-"""Times of the node's decisions, in seconds."""
+"""Settings of the decision logic; times in seconds."""
 
 from __future__ import annotations
 
@@ -11,17 +11,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Everything a node's decisions can be tuned by.
+    """Settings of a node.
 
-    beat_s: period of heartbeats. reask_s: when an unanswered ask is sent
-    again. rebuild_s: the longest a new owner waits for homes' reports.
-    duty_s: delay between instances that would take up the same duty.
-    window_s: length of a minting window. locate_s: how long callers keep a
-    locate answer. query_s: period of takeover queries; tries: their number.
-    silent_s: how long the permits of a silent home still count.
-    pause_s: after standing still for this long an owner asks all homes anew;
-    less than the time after which others may call it dead.
-    order_repeat_s: when an order that shows no effect is sent again.
+    beat_s: heartbeat interval. reask_s: time after which an unanswered permit
+    request is repeated. rebuild_s: maximum time that a new owner waits for
+    the reports of homes. duty_s: delay between instances that may propose the
+    same owner. window_s: length of the time window of request ids. locate_s:
+    how long callers cache a locate response. query_interval_s: interval of
+    takeover queries. max_query_attempts: maximum number of queries per
+    takeover. silent_home_timeout_s: how long the permits of a silent home are
+    kept. pause_s: length of a pause of the process after which an owner
+    requests new reports from all homes; less than the time after which others
+    may declare it dead. order_retry_s: time after which an order without
+    effect is repeated. pollers: number of instances that poll the KV.
+    retry_ratio: retries that each request adds to the budget. initial_retries:
+    initial retry budget. absent_home_expiry_s: time after which the records of
+    an absent home are removed.
     """
 
     policy: str = TALLYHALL
@@ -31,15 +36,15 @@
     duty_s: float = 0.4
     window_s: float = 60.0
     locate_s: float = 5.0
-    query_s: float = 0.5
-    query_tries: int = 4
-    silent_s: float = 10
+    query_interval_s: float = 0.5
+    max_query_attempts: int = 4
+    silent_home_timeout_s: float = 10
     pause_s: float = 1.25
-    order_repeat_s: float = 5
+    order_retry_s: float = 5
     pollers: int = 3
-    retry_share: float = 0.1
-    retry_floor: float = 2.0
+    retry_ratio: float = 0.1
+    initial_retries: float = 2.0
     max_retries: int = 2
-    forget_home_s: float = 900.0
+    absent_home_expiry_s: float = 900.0
     pool: PoolSettings = PoolSettings()
     members: MemberSettings = MemberSettings()
--- a/packages/node/src/tallyhall_node/takeover.py
+++ b/packages/node/src/tallyhall_node/takeover.py
@@ -1,9 +1,10 @@
-"""The taker role: requests whose home is another incarnation.
+"""The takeover role: requests whose home is another incarnation.
 
-A caller whose entry died sends the same id here. A live home is relayed to.
-A dead one is fenced by a change of the assignment that names us its
-successor; only then is the owner asked whether it ever permitted the id. All
-that cannot be decided is answered `unknown` at once, never `not run`.
+A caller whose instance failed submits the same id to another one. If the home
+is alive, the request is relayed to it. A dead home is fenced by an edit of the
+assignment that names this incarnation its successor; only then is the owner
+queried whether it ever permitted the id. If that cannot be determined, the
+request is refused at once with execution `unknown`, never as not executed.
 """
 
 from __future__ import annotations
@@ -31,28 +32,28 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Taking:
+class _Takeover:
     rid: RequestId
     spec: RequestSpec
     deadline: float
-    fencing: str = ''
-    queried: float | None = None
-    tries: int = 0
+    fencing_home: str = ''
+    queried_at: float | None = None
+    query_attempts: int = 0
 
 
-class TakerRole:
-    """Requests being taken over."""
+class TakeoverRole:
+    """Manages the requests that are being taken over."""
 
     def __init__(self, view: View, home: HomeRole) -> None:
-        """Hand decided requests to the home role."""
+        """Initialize; `home` continues the requests that were taken over."""
         self._view = view
         self._home = home
-        self._taking: dict[str, _Taking] = {}
+        self._takeovers: dict[str, _Takeover] = {}
 
     @property
-    def load(self) -> int:
-        """Return the number of requests that wait for a verdict."""
-        return len(self._taking)
+    def pending(self) -> int:
+        """Return the number of undecided takeovers."""
+        return len(self._takeovers)
 
     def start(
         self,
@@ -60,27 +61,27 @@
         spec: RequestSpec,
         now: float,
     ) -> list[Action]:
-        """Take a request whose id names another incarnation."""
+        """Start to take over a request whose id names another incarnation."""
         if not rid.takeover and not self._is_live(str(rid.home), now):
-            return self._unknown(rid)
-        taking = _Taking(rid, spec, now + spec.left_s)
-        self._taking[str(rid)] = taking
-        return self._advance(taking, now)
+            return self._refuse_unknown(rid)
+        takeover = _Takeover(rid, spec, now + spec.left_s)
+        self._takeovers[str(rid)] = takeover
+        return self._advance(takeover, now)
 
     def on_assignment(self, now: float) -> list[Action]:
-        """Go on with whatever waited for a change of the assignment."""
+        """Continue all takeovers after a change of the assignment."""
         out: list[Action] = []
-        for taking in list(self._taking.values()):
-            taking.queried = None
-            out += self._advance(taking, now)
+        for takeover in list(self._takeovers.values()):
+            takeover.queried_at = None
+            out += self._advance(takeover, now)
         return out
 
     def on_edits_failed(self, now: float) -> list[Action]:
-        """Give up what needs the KV: it is down."""
+        """Refuse the takeovers that need the KV, which is down."""
         out: list[Action] = []
-        for taking in list(self._taking.values()):
-            if taking.fencing:
-                out += self._give_up(taking)
+        for takeover in list(self._takeovers.values()):
+            if takeover.fencing_home:
+                out += self._give_up(takeover)
         return out
 
     def on_relay_failed(
@@ -90,33 +91,37 @@
         instance: str,
         now: float,
     ) -> list[Action]:
-        """Take that no connection to the relayed instance could be made."""
+        """Retry a takeover after a relay could not connect to the instance."""
         self._view.members.suspect(instance)
         return self.start(rid, spec, now)
 
-    def on_answer(self, answer: QueryAnswer, now: float) -> list[Action]:
-        """Take the owner's verdict."""
-        taking = self._taking.get(answer.id)
-        if taking is None or taking.queried is None:
+    def on_query_response(
+        self, answer: QueryAnswer, now: float
+    ) -> list[Action]:
+        """Process the owner's answer to a takeover query."""
+        takeover = self._takeovers.get(answer.id)
+        if takeover is None or takeover.queried_at is None:
             return []
-        holder = self._view.assignment.holder_of(str(taking.rid.home))
+        holder = self._view.assignment.holder_of(str(takeover.rid.home))
         if holder != self._view.me:
-            return self._advance(taking, now)
+            return self._advance(takeover, now)
         if answer.verdict == 'unknown':
-            return self._give_up(taking)
-        self._taking.pop(answer.id)
-        left = dataclasses.replace(taking.spec, left_s=taking.deadline - now)
+            return self._give_up(takeover)
+        self._takeovers.pop(answer.id)
+        remaining = dataclasses.replace(
+            takeover.spec, left_s=takeover.deadline - now
+        )
         log = LogEvent(
             Event.takeover,
             {'id': answer.id, 'verdict': answer.verdict},
         )
         if answer.verdict == 'never':
-            return [log, *self._home.submit(taking.rid, left, now)]
+            return [log, *self._home.submit(takeover.rid, remaining, now)]
         return [
             log,
             *self._home.resume(
-                taking.rid,
-                left,
+                takeover.rid,
+                remaining,
                 answer.upstream,
                 answer.address,
                 now,
@@ -124,51 +129,53 @@
         ]
 
     def tick(self, now: float) -> list[Action]:
-        """Ask again where no verdict came; give up what takes too long."""
+        """Repeat unanswered queries; refuse takeovers past their deadline."""
         out: list[Action] = []
-        for taking in list(self._taking.values()):
-            if now >= taking.deadline:
-                out += self._give_up(taking)
+        for takeover in list(self._takeovers.values()):
+            if now >= takeover.deadline:
+                out += self._give_up(takeover)
                 continue
-            if taking.queried is None:
+            if takeover.queried_at is None:
                 continue
-            if now - taking.queried >= self._view.cfg.query_s:
-                out += self._query(taking, now)
+            if now - takeover.queried_at >= self._view.cfg.query_interval_s:
+                out += self._query(takeover, now)
         return out
 
     # -- internals
 
-    def _advance(self, taking: _Taking, now: float) -> list[Action]:
-        holder = self._view.assignment.holder_of(str(taking.rid.home))
+    def _advance(self, takeover: _Takeover, now: float) -> list[Action]:
+        holder = self._view.assignment.holder_of(str(takeover.rid.home))
         if holder == self._view.me:
-            taking.fencing = ''
-            return self._query(taking, now)
+            takeover.fencing_home = ''
+            return self._query(takeover, now)
         if self._is_live(holder, now):
-            self._taking.pop(str(taking.rid), None)
+            self._takeovers.pop(str(takeover.rid), None)
             instance = holder.partition('.')[0]
             entry = self._view.members.known(instance)
             address = entry.http if entry else ''
             return [
                 Count('relayed'),
-                RelayTo(str(taking.rid), instance, address),
+                RelayTo(str(takeover.rid), instance, address),
             ]
-        if not holder or not taking.rid.takeover:
-            return self._give_up(taking)
-        if taking.fencing == holder:
+        if not holder or not takeover.rid.takeover:
+            return self._give_up(takeover)
+        if takeover.fencing_home == holder:
             return []
-        taking.fencing = holder
+        takeover.fencing_home = holder
         return [ProposeEdits((FenceEdit(holder, self._view.me),))]
 
-    def _query(self, taking: _Taking, now: float) -> list[Action]:
-        taking.tries += 1
-        owner = self._view.owner_of(taking.spec.service)
-        out_of_tries = taking.tries > self._view.cfg.query_tries
-        if out_of_tries or not owner:
-            return self._give_up(taking)
-        taking.queried = now
+    def _query(self, takeover: _Takeover, now: float) -> list[Action]:
+        takeover.query_attempts += 1
+        owner = self._view.owner_of(takeover.spec.service)
+        out_of_attempts = (
+            takeover.query_attempts > self._view.cfg.max_query_attempts
+        )
+        if out_of_attempts or not owner:
+            return self._give_up(takeover)
+        takeover.queried_at = now
         query = Query(
-            str(taking.rid),
-            taking.spec.service,
+            str(takeover.rid),
+            takeover.spec.service,
             self._view.me,
             assignments.encode(self._view.assignment),
         )
@@ -177,11 +184,11 @@
     def _is_live(self, home: str, now: float) -> bool:
         return self._view.is_home_live(home, now)
 
-    def _give_up(self, taking: _Taking) -> list[Action]:
-        self._taking.pop(str(taking.rid), None)
-        return self._unknown(taking.rid)
+    def _give_up(self, takeover: _Takeover) -> list[Action]:
+        self._takeovers.pop(str(takeover.rid), None)
+        return self._refuse_unknown(takeover.rid)
 
-    def _unknown(self, rid: RequestId) -> list[Action]:
+    def _refuse_unknown(self, rid: RequestId) -> list[Action]:
         refusal = Refusal.of(Reason.takeover_unknown)
         return [
             Count(f'refused.{refusal.reason}'),
--- a/packages/node/src/tallyhall_node/view.py
+++ b/packages/node/src/tallyhall_node/view.py
@@ -1,7 +1,7 @@
-"""What this instance knows: members, shared values, assignment and table.
+"""State known to this instance: members, shared values, assignment, table.
 
-Every role reads the view; only the node changes it. A newer value replaces
-an older one, never the other way round.
+Every role reads the view; only the node changes it. A value is replaced only
+by a newer one.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 class View:
-    """The newest knowledge of one instance."""
+    """Latest known state of the fleet."""
 
     def __init__(self, own: MemberEntry, cfg: NodeSettings) -> None:
-        """Start knowing only itself."""
+        """Initialize with this instance as the only member."""
         self.cfg = cfg
         self.members = Members(own, cfg.members)
         self.shared = SharedValues()
@@ -40,7 +40,7 @@
 
     @property
     def me(self) -> str:
-        """Return this incarnation's text form."""
+        """Return this incarnation as text."""
         return str(self.members.home)
 
     @property
@@ -50,15 +50,15 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether a table and an assignment are in force."""
+        """Return whether a table and an assignment have been received."""
         return self.table.revision > 0 and self.assignment.epoch > 0
 
-    def take(self, offered: SharedValue) -> bool:
-        """Take a shared value if it is newer and valid."""
+    def accept(self, offered: SharedValue) -> bool:
+        """Store a shared value if newer and valid; return whether it was."""
         if not self.shared.is_newer(offered):
             return False
         try:
-            self._parse(offered)
+            self._apply(offered)
         except (
             TableError,
             assignments.BadAssignmentError,
@@ -68,17 +68,17 @@
         return self.shared.take(offered)
 
     def owner_of(self, service: str) -> str:
-        """Return the incarnation that owns the service, empty if none."""
+        """Return the incarnation that owns the service, or an empty string."""
         tenure = self.assignment.owners.get(service)
         return tenure.owner if tenure else ''
 
-    def since(self, service: str) -> int:
-        """Return the epoch since when the service has its owner."""
+    def owner_since(self, service: str) -> int:
+        """Return the epoch in which the owner of the service was assigned."""
         tenure = self.assignment.owners.get(service)
         return tenure.since if tenure else 0
 
     def candidates(self, now: float) -> dict[str, MemberEntry]:
-        """Return the live instances that are not leaving."""
+        """Return the live instances that are not stopping."""
         return {
             name: entry
             for name, entry in self.members.live(now).items()
@@ -86,23 +86,26 @@
         }
 
     def is_home_live(self, home: str, now: float) -> bool:
-        """Return whether this very incarnation counts as alive."""
+        """Return whether this exact incarnation is considered alive."""
         return self.members.is_live(home, now)
 
     def kv_down(self, now: float) -> bool:
-        """Return whether no poller reaches the KV."""
+        """Return whether no poller can reach the KV."""
         live = self.members.live(now)
         pollers = rendezvous.rank('poll', live)[: self.cfg.pollers]
         return not any(live[name].kv_up for name in pollers)
 
     def polls(self, now: float) -> bool:
-        """Return whether this instance is among those that poll."""
+        """Return whether this instance is one of the pollers."""
         live = self.members.live(now)
         pollers = rendezvous.rank('poll', live)[: self.cfg.pollers]
         return self.home.instance in pollers
 
     def deputy_of(self, service: str, now: float) -> str:
-        """Return who serves marked ids of a service with a dead owner."""
+        """Return the deputy of a service whose owner is dead.
+
+        It serves only ids that cannot be taken over.
+        """
         candidates = self.candidates(now)
         if not candidates:
             return ''
@@ -110,14 +113,14 @@
         return f'{first}.{candidates[first].incarnation}'
 
     def send(self, home: str, message: Message) -> list[Action]:
-        """Return the action that sends to one incarnation, if it is known."""
+        """Return the action that sends to an incarnation, if it is a member."""
         instance, _, incarnation = home.partition('.')
         entry = self.members.known(instance)
         if entry is None or entry.incarnation != incarnation:
             return []
         return [Send(entry.rpc, home, message)]
 
-    def _parse(self, offered: SharedValue) -> None:
+    def _apply(self, offered: SharedValue) -> None:
         if offered.name == TABLE:
             self.table = parse_table(offered.text)
         elif offered.name == ASSIGNMENT:
--- a/tests/unit/cluster.py
+++ b/tests/unit/cluster.py
@@ -1,9 +1,9 @@
-"""Whole nodes, fakes around them, and every kind of fault, step by step.
+"""A cluster of real nodes with fake surroundings, driven step by step.
 
-A schedule is drawn step by step from a random source: messages arrive in any
-order, twice or never; nodes learn of changes late, die, are suspected while
-alive; answers of the KV are lost; runs stand still between permit and
-dispatch. The cluster counts what would reach an engine.
+A random source chooses each step: messages are delivered in any order, twice or
+never; nodes receive changes late, crash, or are suspected while alive; answers
+of the key-value store (KV) are lost; runs are delayed between permit and
+dispatch. The cluster counts the dispatches that would reach an engine.
 """
 
 import collections
@@ -35,7 +35,7 @@
     prompt_tokens=100,
     max_tokens=100,
 )
-LOT_TAG = dataclasses.replace(
+NON_IDEMPOTENT_CALL = dataclasses.replace(
     MODEL_CALL,
     idempotent=False,
     prompt_tokens=0,
@@ -43,9 +43,9 @@
 )
 _CFG = NodeSettings(
     window_s=8,
-    query_s=1,
-    # Steps go to one node at a time; the usual 1.25 would suspend all owners
-    # all the time, and hardly any request would be dispatched.
+    query_interval_s=1,
+    # Each step ticks a single node. With the default of 1.25 s all owners
+    # would be suspended most of the time, and few requests dispatched.
     pause_s=8,
     pool=PoolSettings(windows_kept=2),
     members=MemberSettings(dead_after=2.5),
@@ -53,8 +53,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Flight:
-    """A message under way."""
+class Envelope:
+    """A message that has been sent and not yet delivered."""
 
     sender: str
     sender_address: str
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FakeRun:
-    """A run of a node; `sent` once it has reached the engine."""
+    """A run started by a node; `sent` once it has reached the engine."""
 
     home: str
     start: acts.StartRun
@@ -73,20 +73,20 @@
 
 
 class Cluster:
-    """Three nodes, a key-value service, engines and callers."""
+    """Three nodes with a simulated KV, engines and callers."""
 
     def __init__(
         self,
         rng: random.Random,
         spec: acts.RequestSpec = MODEL_CALL,
     ) -> None:
-        """Start with one owner for the one service, known to all."""
+        """Start the nodes; one of them owns the single service."""
         self.rng = rng
         self.spec = spec
         self.now = 100.0
         self.nodes: dict[str, Node] = {}
         self.fenced: list[Node] = []
-        self.flights: list[Flight] = []
+        self.in_flight: list[Envelope] = []
         self.runs: list[FakeRun] = []
         self.proposals: list[tuple[str, tuple[assignments.Edit, ...]]] = []
         self.assignment = assignments.Assignment()
@@ -96,20 +96,20 @@
         self.said_no: set[str] = set()
         self.submissions: collections.Counter[str] = collections.Counter()
         self.taken_over: set[str] = set()
-        self.stop_asks = False
-        self.cut_off = ''
-        self.stopped: list[Flight] = []
+        self.hold_permit_requests = False
+        self.unreachable_address = ''
+        self.held_requests: list[Envelope] = []
         for name in NAMES_OF_NODES:
-            self._boot(name)
+            self._start_node(name)
         owner = self.nodes[rng.choice(NAMES_OF_NODES)]
         edit = assignments.OwnerEdit(build.SERVICE, '', owner.view.me)
-        self._write((edit,))
+        self._write_assignment((edit,))
         for node in self.nodes.values():
-            self._learn(node)
-        self._meet()
+            self._deliver_assignment(node)
+        self._merge_members()
 
     def step(self) -> None:
-        """Do one random step."""
+        """Execute one random step."""
         steps = self._steps()
         chosen = self.rng.choices(
             [step for _, step in steps],
@@ -117,19 +117,19 @@
         )[0]
         chosen()
 
-    def doubled(self) -> list[str]:
-        """Return the ids that reached an engine more than once."""
+    def double_dispatches(self) -> list[str]:
+        """Return the ids that were dispatched to an engine more than once."""
         return [rid for rid, count in self.dispatches.items() if count > 1]
 
-    def untrue(self) -> list[str]:
-        """Return ids refused as not run that did reach an engine."""
+    def false_refusals(self) -> list[str]:
+        """Return dispatched ids that were refused as not executed."""
         return [
             rid
             for rid in self.said_no
             if self.dispatches[rid] and self.submissions[rid] == 1
         ]
 
-    # -- directed schedules
+    # -- scripted schedules
 
     def submit_new(self, name: str) -> str:
         """Submit a new request at its home and return its id."""
@@ -154,40 +154,40 @@
         *,
         ended: bool,
     ) -> bool:
-        """End a run that was sent; return whether there was one.
+        """End the sent run of an id; return whether there was one.
 
-        ended: whether its engine has ended with it.
+        ended: whether its engine has terminated as well.
         """
         for run in self.runs:
-            node = self._by_home(run.home)
+            node = self._node_of(run.home)
             if run.start.id != rid or not run.sent or node is None:
                 continue
             self.runs.remove(run)
             result = acts.RunResult(
                 rid, run.start.upstream, outcome, ended=ended
             )
-            self._perform(node, node.on_result(result, self.now))
+            self._execute_all(node, node.on_result(result, self.now))
             self.settle(now_and_then=False)
             return True
         return False
 
-    def hold(self, kind: str) -> Flight:
-        """Take a message under way out, to be released later."""
-        found = next(one for one in self.flights if one.message.kind == kind)
-        self.flights.remove(found)
+    def hold(self, kind: str) -> Envelope:
+        """Remove an undelivered message, to be released later."""
+        found = next(one for one in self.in_flight if one.message.kind == kind)
+        self.in_flight.remove(found)
         return found
 
-    def release(self, flight: Flight) -> None:
-        """Let a held message arrive."""
-        self._arrive(flight)
+    def release(self, envelope: Envelope) -> None:
+        """Deliver a held message."""
+        self._deliver_message(envelope)
 
     def kill(self, name: str) -> None:
-        """End a node and start it anew; it remembers nothing."""
-        self._boot(name)
-        self._meet()
+        """Replace a node by a new incarnation without state."""
+        self._start_node(name)
+        self._merge_members()
 
     def move_owner(self) -> None:
-        """Give the service to another node, which has to be told all."""
+        """Assign the service to another node, which has no state of it."""
         old = self.assignment.owners[build.SERVICE].owner
         new = next(
             node.view.me for node in self.nodes.values() if node.view.me != old
@@ -195,82 +195,85 @@
         self.change((assignments.OwnerEdit(build.SERVICE, old, new),))
 
     def change(self, edits: tuple[assignments.Edit, ...]) -> None:
-        """Change the assignment and tell every node."""
-        self._write(edits)
+        """Edit the assignment and send it to every node."""
+        self._write_assignment(edits)
         for node in tuple(self.nodes.values()):
-            self._learn(node)
+            self._deliver_assignment(node)
 
     def settle(self, *, now_and_then: bool) -> None:
-        """Deliver, propose and dispatch until nothing is left to do.
+        """Deliver messages, apply proposals and dispatch runs until idle.
 
-        now_and_then: let time pass as well, for a few seconds.
+        now_and_then: also advance the time, by 6 seconds in steps.
         """
         for _ in range(20 if now_and_then else 1):
-            self._meet()
+            self._merge_members()
             if now_and_then:
                 self.now += 0.3
                 for node in self.nodes.values():
-                    self._perform(node, node.tick(self.now))
+                    self._execute_all(node, node.tick(self.now))
             self._drain()
 
     def _drain(self) -> None:
         for _ in range(500):
-            if self.flights:
-                flight = self.flights.pop(0)
-                kind = flight.message.kind
-                if flight.address == self.cut_off and kind != 'permit':
+            if self.in_flight:
+                envelope = self.in_flight.pop(0)
+                kind = envelope.message.kind
+                if (
+                    envelope.address == self.unreachable_address
+                    and kind != 'permit'
+                ):
                     continue
-                if kind == 'ask' and self.stop_asks:
-                    self.stopped.append(flight)
+                if kind == 'ask' and self.hold_permit_requests:
+                    self.held_requests.append(envelope)
                 else:
-                    self._arrive(flight)
+                    self._deliver_message(envelope)
             elif self.proposals:
                 home, edits = self.proposals.pop(0)
-                self._write(edits)
-                node = self._by_home(home)
+                self._write_assignment(edits)
+                node = self._node_of(home)
                 if node is not None:
-                    self._learn(node)
+                    self._deliver_assignment(node)
             else:
                 break
         for run in self.runs:
-            if self._by_home(run.home) is not None and not run.sent:
+            if self._node_of(run.home) is not None and not run.sent:
                 run.sent = True
                 self.dispatches[run.start.id] += 1
 
-    # -- what may happen
+    # -- random steps
 
     def _steps(self) -> list[tuple[float, Callable[[], None]]]:
         steps: list[tuple[float, Callable[[], None]]] = [
             (4, self._tick),
-            (0.3, self._leap),
+            (0.3, self._skip_time),
             (1, self._submit),
-            (1.5, self._learn_some),
+            (1.5, self._deliver_assignment_to_any),
             (0.25, self._kill),
             (0.3, self._suspect),
             (0.08, self._toggle_kv),
         ]
-        if self.flights:
+        if self.in_flight:
             steps += [
-                (14, self._deliver),
+                (14, self._deliver_any),
                 (0.5, self._drop),
                 (0.5, self._duplicate),
             ]
         if self.ids:
-            steps.append((1.5, self._retry))
+            steps.append((1.5, self._resubmit))
         if self.proposals:
-            steps.append((3, self._propose))
+            steps.append((3, self._apply_proposal))
         if self.runs:
-            steps.append((2.5, self._run))
+            steps.append((2.5, self._advance_run))
         return steps
 
     def _tick(self) -> None:
         self.now += self.rng.choice((0.05, 0.3, 0.6))
         node = self._any_node()
-        self._perform(node, node.tick(self.now))
+        self._execute_all(node, node.tick(self.now))
         for old in self.fenced:
-            self._perform(old, old.home.tick(self.now, 0))
+            self._execute_all(old, old.home.tick(self.now, 0))
 
-    def _leap(self) -> None:
+    def _skip_time(self) -> None:
         self.now += self.rng.choice((2, 3, 9))
 
     def _submit(self) -> None:
@@ -288,7 +291,7 @@
         self.ids.append(rid)
         self._submit_at(home, rid)
 
-    def _retry(self) -> None:
+    def _resubmit(self) -> None:
         rid = self.rng.choice(self.ids[-4:])
         self._submit_at(self._any_node(), rid)
 
@@ -297,46 +300,46 @@
         known = [old for old in self.fenced if old.home.knows(rid)]
         target = (known or [node])[0]
         submission = target.submit(RequestId.parse(rid), self.spec, self.now)
-        self._perform(target, submission.actions)
+        self._execute_all(target, submission.actions)
 
-    def _deliver(self) -> None:
-        place = self.rng.randrange(len(self.flights))
-        self._arrive(self.flights.pop(place))
+    def _deliver_any(self) -> None:
+        index = self.rng.randrange(len(self.in_flight))
+        self._deliver_message(self.in_flight.pop(index))
 
     def _drop(self) -> None:
-        self.flights.pop(self.rng.randrange(len(self.flights)))
+        self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
 
     def _duplicate(self) -> None:
-        self._arrive(self.rng.choice(self.flights))
+        self._deliver_message(self.rng.choice(self.in_flight))
 
-    def _learn_some(self) -> None:
+    def _deliver_assignment_to_any(self) -> None:
         if self.kv_up:
-            self._learn(self._any_node())
+            self._deliver_assignment(self._any_node())
 
     def _toggle_kv(self) -> None:
         self.kv_up = not self.kv_up
         for node in self.nodes.values():
             node.on_kv(up=self.kv_up)
-        self._meet()
+        self._merge_members()
 
-    def _propose(self) -> None:
-        place = self.rng.randrange(len(self.proposals))
-        home, edits = self.proposals.pop(place)
-        node = self._by_home(home)
+    def _apply_proposal(self) -> None:
+        index = self.rng.randrange(len(self.proposals))
+        home, edits = self.proposals.pop(index)
+        node = self._node_of(home)
         if self.kv_up:
-            self._write(edits)
+            self._write_assignment(edits)
         if node is None:
             return
         if not self.kv_up or self.rng.random() < 0.2:
-            self._perform(node, node.on_edits_failed(self.now))
+            self._execute_all(node, node.on_edits_failed(self.now))
             return
-        self._learn(node)
+        self._deliver_assignment(node)
 
-    def _run(self) -> None:
+    def _advance_run(self) -> None:
         run = self.rng.choice(self.runs)
-        node = self._by_home(run.home)
+        node = self._node_of(run.home)
         if node is None:
-            # The process is gone; what it had not written never goes out.
+            # The process has crashed, so an unsent run is never dispatched.
             self.runs.remove(run)
             return
         if not run.sent and not run.start.resume and self.rng.random() < 0.7:
@@ -350,31 +353,31 @@
                 (acts.Outcome.complete, acts.Outcome.broken)
             )
         result = acts.RunResult(run.start.id, run.start.upstream, outcome)
-        self._perform(node, node.on_result(result, self.now))
+        self._execute_all(node, node.on_result(result, self.now))
 
     def _kill(self) -> None:
         name = self.rng.choice(NAMES_OF_NODES)
-        self._boot(name)
+        self._start_node(name)
         node = self.nodes[name]
         if self.kv_up:
-            self._learn(node)
-        self._meet()
+            self._deliver_assignment(node)
+        self._merge_members()
 
     def _suspect(self) -> None:
         node = self._any_node()
         node.view.members.suspect(self.rng.choice(NAMES_OF_NODES))
 
-    # -- carrying out
+    # -- execution of actions
 
-    def _perform(self, node: Node, actions: list[acts.Action]) -> None:
+    def _execute_all(self, node: Node, actions: list[acts.Action]) -> None:
         for action in actions:
-            self._carry_out(node, action)
+            self._execute(node, action)
 
-    def _carry_out(self, node: Node, action: acts.Action) -> None:
+    def _execute(self, node: Node, action: acts.Action) -> None:
         match action:
             case acts.Send():
-                self.flights.append(
-                    Flight(
+                self.in_flight.append(
+                    Envelope(
                         node.view.me,
                         node.view.members.own.rpc,
                         action.address,
@@ -385,7 +388,7 @@
             case acts.StartRun():
                 self.runs.append(FakeRun(node.view.me, action))
             case acts.Finish():
-                self._note(action.id, action.refusal)
+                self._record_refusal(action.id, action.refusal)
             case acts.RelayTo():
                 self._relay(node, action)
             case acts.ProposeEdits():
@@ -410,38 +413,41 @@
             action.instance,
             self.now,
         )
-        self._perform(node, actions)
+        self._execute_all(node, actions)
 
     def _restart(self, node: Node) -> None:
         name = node.view.home.instance
         if self.nodes[name] is not node:
             return
         self.fenced.append(node)
-        self._boot(name)
-        for held in node.view.shared.select(NAMES):
+        self._start_node(name)
+        for shared in node.view.shared.select(NAMES):
             fresh = self.nodes[name]
-            self._perform(fresh, fresh.on_value(held, self.now))
+            self._execute_all(fresh, fresh.on_value(shared, self.now))
 
-    def _note(self, rid: str, refusal: Refusal) -> None:
+    def _record_refusal(self, rid: str, refusal: Refusal) -> None:
         if refusal.executed == 'no':
             self.said_no.add(rid)
 
-    def _arrive(self, flight: Flight) -> None:
+    def _deliver_message(self, envelope: Envelope) -> None:
         for node in (*self.nodes.values(), *self.fenced):
             own = node.view.members.own
-            if own.rpc == flight.address and flight.to in {'', node.view.me}:
+            if own.rpc == envelope.address and envelope.to in {
+                '',
+                node.view.me,
+            }:
                 actions = node.on_message(
-                    flight.sender,
-                    flight.sender_address,
-                    flight.message,
+                    envelope.sender,
+                    envelope.sender_address,
+                    envelope.message,
                     self.now,
                 )
-                self._perform(node, actions)
+                self._execute_all(node, actions)
                 return
 
-    # -- the world
+    # -- simulated environment
 
-    def _boot(self, name: str) -> None:
+    def _start_node(self, name: str) -> None:
         incarnation = new_incarnation()
         number = NAMES_OF_NODES.index(name)
         entry = MemberEntry(
@@ -470,25 +476,25 @@
         }
         for shared, text in texts.items():
             value = SharedValue(shared, 1, text)
-            self._perform(node, node.on_value(value, self.now))
+            self._execute_all(node, node.on_value(value, self.now))
 
-    def _meet(self) -> None:
+    def _merge_members(self) -> None:
         entries = tuple(node.view.members.own for node in self.nodes.values())
         for node in self.nodes.values():
             node.view.members.merge(entries, self.now)
 
-    def _learn(self, node: Node) -> None:
+    def _deliver_assignment(self, node: Node) -> None:
         text = assignments.encode(self.assignment)
         value = SharedValue(ASSIGNMENT, self.assignment.epoch, text)
-        self._perform(node, node.on_value(value, self.now))
+        self._execute_all(node, node.on_value(value, self.now))
 
-    def _write(self, edits: tuple[assignments.Edit, ...]) -> None:
+    def _write_assignment(self, edits: tuple[assignments.Edit, ...]) -> None:
         self.assignment = assignments.apply_edits(self.assignment, edits, 'x')
 
     def _any_node(self) -> Node:
         return self.nodes[self.rng.choice(NAMES_OF_NODES)]
 
-    def _by_home(self, home: str) -> Node | None:
+    def _node_of(self, home: str) -> Node | None:
         for node in (*self.nodes.values(), *self.fenced):
             if node.view.me == home:
                 return node
--- a/tests/unit/test_at_most_once.py
+++ b/tests/unit/test_at_most_once.py
@@ -1,4 +1,7 @@
-"""At most once over every interleaving, and each rule shown to be needed."""
+"""At-most-once dispatch under random interleavings.
+
+Some tests disable a safeguard and check that double dispatches then occur.
+"""
 
 import dataclasses
 import random
@@ -15,24 +18,24 @@
 
 from tests.unit import admission as build
 from tests.unit.cluster import (
-    LOT_TAG,
+    NON_IDEMPOTENT_CALL,
     MODEL_CALL,
     NAMES_OF_NODES,
     Cluster,
 )
 
 _STEPS = 160
-_SEARCH = 400
+_SEEDS = 400
 
 
-def _walk(
+def _explore(
     seed: int,
     spec: RequestSpec = MODEL_CALL,
 ) -> Cluster:
     cluster = Cluster(random.Random(seed), spec)
     for _ in range(_STEPS):
         cluster.step()
-        if cluster.doubled():
+        if cluster.double_dispatches():
             break
     return cluster
 
@@ -40,87 +43,92 @@
 @settings(max_examples=500)
 @given(seed=st.integers(0, 2**40))
 def test_never_dispatched_twice(seed: int) -> None:
-    cluster = _walk(seed)
-    assert not cluster.doubled()
-    assert not cluster.untrue()
+    cluster = _explore(seed)
+    assert not cluster.double_dispatches()
+    assert not cluster.false_refusals()
 
 
 @settings(max_examples=300)
 @given(seed=st.integers(0, 2**40))
-def test_a_lot_tag_is_never_issued_twice(seed: int) -> None:
-    cluster = _walk(seed, LOT_TAG)
-    assert not cluster.doubled()
-    assert not cluster.untrue()
+def test_non_idempotent_call_is_never_dispatched_twice(seed: int) -> None:
+    cluster = _explore(seed, NON_IDEMPOTENT_CALL)
+    assert not cluster.double_dispatches()
+    assert not cluster.false_refusals()
 
 
-def test_an_idempotent_call_may_run_again() -> None:
-    """The walks do break calls, so the property above says something."""
-    spec = dataclasses.replace(LOT_TAG, idempotent=True)
-    assert any(_walk(seed, spec).doubled() for seed in range(_SEARCH))
+def test_idempotent_call_may_be_repeated() -> None:
+    """Repeated dispatches of idempotent calls show that runs do fail."""
+    spec = dataclasses.replace(NON_IDEMPOTENT_CALL, idempotent=True)
+    assert any(
+        _explore(seed, spec).double_dispatches() for seed in range(_SEEDS)
+    )
 
 
-def test_takeovers_do_happen() -> None:
-    taken = sum(len(_walk(seed).taken_over) for seed in range(200))
+def test_takeovers_occur() -> None:
+    taken = sum(len(_explore(seed).taken_over) for seed in range(200))
     assert taken > 10
 
 
-def _forgetful(memory: PermitMemory, rid: RequestId) -> Recall:
+def _recall_nothing(memory: PermitMemory, rid: RequestId) -> Recall:
     return Recall(NEVER)
 
 
-def test_without_memory_it_breaks() -> None:
-    with mock.patch.object(PermitMemory, 'recall', _forgetful):
-        assert any(_walk(seed).doubled() for seed in range(_SEARCH))
+def test_double_dispatch_without_permit_memory() -> None:
+    with mock.patch.object(PermitMemory, 'recall', _recall_nothing):
+        assert any(_explore(seed).double_dispatches() for seed in range(_SEEDS))
 
 
-def test_without_tenure_it_breaks() -> None:
-    with mock.patch.object(OwnerRole, 'knows_all_since', return_value=True):
-        assert any(_walk(seed).doubled() for seed in range(_SEARCH))
+def test_double_dispatch_without_epoch_check() -> None:
+    with mock.patch.object(
+        OwnerRole, 'has_all_permits_since', return_value=True
+    ):
+        assert any(_explore(seed).double_dispatches() for seed in range(_SEEDS))
 
 
 @pytest.mark.parametrize(
     ('fence', 'dispatches'),
     [(True, 1), (False, 2)],
 )
-def test_fence_holds_when_the_owner_dies_too(
+def test_fence_prevents_double_dispatch_when_owner_dies(
     fence: bool,
     dispatches: int,
 ) -> None:
-    """A late ask of the fenced home, then the death of its owner.
+    """A delayed permit request of a fenced home, then a crash of the owner.
 
-    The taker hears `never` and asks for a permit; the home's own ask, held up
-    until now, reaches the same owner; the owner dies and a new one without
-    memory permits the taker. Only the fence keeps the home from a permit.
+    The successor learns that the id was never permitted and requests a permit.
+    The delayed permit request of the home reaches the same owner. The owner
+    crashes, and a new one without memory permits the successor. Only the fence
+    prevents a permit for the home.
     """
     cluster = Cluster(random.Random(1))
     cluster.settle(now_and_then=True)
     owner = cluster.assignment.owners[build.SERVICE].owner
     owner_name = owner.partition('.')[0]
-    home, taker = (name for name in NAMES_OF_NODES if name != owner_name)
+    home, successor = (name for name in NAMES_OF_NODES if name != owner_name)
     rid = cluster.submit_new(home)
-    late_ask = cluster.hold('ask')
-    cluster.nodes[taker].view.members.suspect(home)
-    cluster.cut_off = cluster.nodes[home].view.members.own.rpc
-    cluster.stop_asks = True
-    cluster.submit_again(taker, rid)
+    delayed_request = cluster.hold('ask')
+    cluster.nodes[successor].view.members.suspect(home)
+    cluster.unreachable_address = cluster.nodes[home].view.members.own.rpc
+    cluster.hold_permit_requests = True
+    cluster.submit_again(successor, rid)
     cluster.settle(now_and_then=False)
-    cluster.stop_asks = False
-    assert [one.sender for one in cluster.stopped] == [
-        cluster.nodes[taker].view.me,
+    cluster.hold_permit_requests = False
+    assert [one.sender for one in cluster.held_requests] == [
+        cluster.nodes[successor].view.me,
     ]
     with mock.patch.object(
         Assignment,
         'holder_of',
-        Assignment.holder_of if fence else _own_holder,
+        Assignment.holder_of if fence else _holder_without_fence,
     ):
-        cluster.release(late_ask)
+        cluster.release(delayed_request)
         cluster.settle(now_and_then=False)
     cluster.kill(owner_name)
-    edit = OwnerEdit(build.SERVICE, owner, cluster.nodes[taker].view.me)
+    edit = OwnerEdit(build.SERVICE, owner, cluster.nodes[successor].view.me)
     cluster.change((edit,))
     cluster.settle(now_and_then=True)
     assert cluster.dispatches[rid] == dispatches
 
 
-def _own_holder(assignment: Assignment, home: str) -> str:
+def _holder_without_fence(assignment: Assignment, home: str) -> str:
     return home
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: only what differs, only with number or lease."""
+"""Orders to engines, their fencing numbers and the leases of services."""
 
 import freezegun
 from tallyhall_core.messages import MemberEntry, SharedValue
@@ -14,24 +14,24 @@
 
 
 class LeaseKv:
-    """Leases of a key-value service whose clock the test moves."""
+    """Leases of a key-value store with a clock that the test controls."""
 
     def __init__(self) -> None:
-        """Start without leases."""
+        """Initialize without leases."""
         self.now: float = 0
         self.is_down = False
         self._until: dict[str, float] = {}
         self._keys: dict[str, str] = {}
 
     def grant_lease(self, ttl_s: int) -> str:
-        """Grant."""
+        """Grant a lease."""
         self._check()
         lease = str(len(self._until))
         self._until[lease] = self.now + ttl_s
         return lease
 
     def swap_leased(self, key: str, content: bytes, lease: str) -> bool:
-        """Create the key if its lease has run out."""
+        """Create the key if its current lease has expired."""
         self._check()
         holder = self._keys.get(key)
         if holder is not None and self._until[holder] > self.now:
@@ -40,7 +40,7 @@
         return True
 
     def keep_lease(self, lease: str) -> bool:
-        """Renew if it stands."""
+        """Renew the lease if it has not expired."""
         self._check()
         if self._until[lease] <= self.now:
             return False
@@ -83,7 +83,7 @@
     return node
 
 
-def test_only_engines_with_another_model_are_ordered() -> None:
+def test_only_engines_with_wrong_model_receive_orders() -> None:
     node = _node()
     assert not node.orders_due(1)
     node.controller.on_model('engine-0', 'ledger-1')
@@ -94,7 +94,7 @@
     assert node.orders_due(8)
 
 
-def test_a_new_controller_waits_out_the_old_lease() -> None:
+def test_new_controller_waits_for_old_lease_to_expire() -> None:
     kv = LeaseKv()
     with freezegun.freeze_time('2026-01-01') as clock:
         old = ServiceLease(kv, 'ledger', 'entry-1')  # type: ignore[arg-type]
@@ -104,13 +104,13 @@
         for _ in range(LEASE_S):
             clock.tick(1)
             kv.now += 1
-        # The old one, paused until now, knows by itself that it has ended.
+        # The old holder, paused until now, detects the expiry by itself.
         assert not old.is_held
         assert new.ensure()
         assert not old.ensure()
 
 
-def test_a_lease_outlives_an_outage_only_for_its_time() -> None:
+def test_lease_survives_outage_until_it_expires() -> None:
     kv = LeaseKv()
     with freezegun.freeze_time('2026-01-01') as clock:
         lease = ServiceLease(kv, 'ledger', 'entry-1')  # type: ignore[arg-type]
