--- a/tests/processes/test_takeover.py
+++ b/tests/processes/test_takeover.py
@@ -1,4 +1,4 @@
-"""At most once with real processes: kills, freezes, callers at two entries."""
+"""At-most-once dispatch with real processes that are killed or frozen."""
 
 import json
 import signal
@@ -22,12 +22,12 @@
 pytestmark = pytest.mark.processes
 
 _REQUESTS = 60
-_OVER_S = 4.0
+_BURST_S = 4.0
 
 
 @pytest.fixture(scope='module')
 def fleet() -> Iterator[Fleet]:
-    """Start a small fleet; tests that kill restore it."""
+    """Start a small fleet; each test restarts instances that were killed."""
     with Fleet(small_spec()) as started:
         yield started
 
@@ -41,7 +41,7 @@
     raise AssertionError('no instance answers')
 
 
-def _other(fleet: Fleet, owner: Member) -> Member:
+def _other_instance(fleet: Fleet, owner: Member) -> Member:
     return next(
         member for member in fleet.instances.values() if member is not owner
     )
@@ -60,10 +60,10 @@
 def test_kill(fleet: Fleet, victims: str) -> None:
     _restore(fleet)
     owner = _owner(fleet)
-    entry = _other(fleet, owner)
-    plan = mixed_burst(len(victims), _REQUESTS, _OVER_S)
+    entry = _other_instance(fleet, owner)
+    plan = mixed_burst(len(victims), _REQUESTS, _BURST_S)
     with loaded(fleet, plan) as done:
-        time.sleep(_OVER_S / 2)
+        time.sleep(_BURST_S / 2)
         if victims != 'owner':
             entry.process.kill()
         if victims != 'entry':
@@ -72,19 +72,19 @@
     assert count_answered(done) > len(plan) // 2
 
 
-def test_freeze_past_every_timeout(fleet: Fleet) -> None:
+def test_freeze_longer_than_all_timeouts(fleet: Fleet) -> None:
     _restore(fleet)
     owner = _owner(fleet)
-    plan = mixed_burst(5, _REQUESTS, _OVER_S)
+    plan = mixed_burst(5, _REQUESTS, _BURST_S)
     with loaded(fleet, plan) as done:
-        time.sleep(_OVER_S / 4)
+        time.sleep(_BURST_S / 4)
         owner.process.send_signal(signal.SIGSTOP)
-        time.sleep(_OVER_S)
+        time.sleep(_BURST_S)
         owner.process.send_signal(signal.SIGCONT)
     assert not violations(fleet, done, plan)
 
 
-def test_same_id_at_two_entries_at_once(fleet: Fleet) -> None:
+def test_same_id_at_several_entries_at_once(fleet: Fleet) -> None:
     _restore(fleet)
     locator = Locator(fleet.seeds, 'test')
     http = urllib3.PoolManager(retries=False, maxsize=8)
--- a/tests/unit/test_answers_property.py
+++ b/tests/unit/test_answers_property.py
@@ -1,4 +1,4 @@
-"""Whole answers over anything that an engine's connections may bring."""
+"""Complete answers whatever an engine sends on its connections."""
 
 import itertools
 import json
@@ -23,10 +23,10 @@
 
 
 class ScriptedEngine:
-    """Answers each connection as its part of the script says, then rightly."""
+    """Follows the script of each connection, then answers correctly."""
 
     def __init__(self) -> None:
-        """Start with an empty script."""
+        """Initialize with an empty script."""
         self.script: _Script = []
 
     def handle(self, req: Request) -> Response:
@@ -55,8 +55,8 @@
         if step == 'next' and number < _EVENTS:
             yield _line(rid, number)
         number += step in {'next', 'skip'}
-    for left in range(number, _EVENTS):
-        yield _line(rid, left)
+    for rest in range(number, _EVENTS):
+        yield _line(rid, rest)
     yield b'data: [DONE]\n\n'
 
 
@@ -75,7 +75,7 @@
 
 _ENGINE = ScriptedEngine()
 _ADDRESS = gateway.serve(_ENGINE.handle)
-_WHOLE = ''.join(f' {number}' for number in range(_EVENTS))
+_COMPLETE_TEXT = ''.join(f' {number}' for number in range(_EVENTS))
 _SCRIPTS = st.lists(
     st.lists(st.sampled_from(_STEPS), max_size=_EVENTS),
     max_size=4,
@@ -91,19 +91,19 @@
 
 @settings(max_examples=150)
 @given(script=_SCRIPTS)
-def test_an_answer_is_whole_or_does_not_look_so(script: _Script) -> None:
+def test_answer_is_complete_or_marked_incomplete(script: _Script) -> None:
     outcome, text, complete = _run(script)
     assert complete == (outcome == Outcome.complete)
-    assert _WHOLE.startswith(text)
+    assert _COMPLETE_TEXT.startswith(text)
     if complete:
-        assert text == _WHOLE
+        assert text == _COMPLETE_TEXT
 
 
-def _believe(check: OrderCheck, event: StreamEvent) -> bool:
+def _accept_any(check: OrderCheck, event: StreamEvent) -> bool:
     return True
 
 
-def test_without_the_check_it_breaks() -> None:
-    with mock.patch.object(OrderCheck, 'accept', _believe):
+def test_wrong_text_without_order_check() -> None:
+    with mock.patch.object(OrderCheck, 'accept', _accept_any):
         _, text, _ = _run([['next', 'repeat', 'foreign']])
-    assert not _WHOLE.startswith(text)
+    assert not _COMPLETE_TEXT.startswith(text)
--- a/tests/unit/test_whole_answers.py
+++ b/tests/unit/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request, or none that looks so."""
+"""Callers receive the complete answer to their own request or a failure."""
 
 import itertools
 from concurrent import futures
@@ -15,7 +15,7 @@
 
 _NUMBERS = itertools.count(1)
 _WORKERS = 32
-_PATIENCE_S = 60
+_TIMEOUT_S = 60
 _SLOW = EngineSpeed(step_s=0.5)
 
 
@@ -31,51 +31,52 @@
     with FaultProxy(address) as probe:
         gateway.run_once(next(_NUMBERS), probe.address)
     with futures.ThreadPoolExecutor(_WORKERS) as pool:
-        ends = list(
+        results = list(
             pool.map(lambda byte: _cut_at(address, byte, 1), range(1340)),
         )
-    assert set(ends) == {(Outcome.complete, gateway.whole_text(), True)}
+    assert set(results) == {(Outcome.complete, gateway.whole_text(), True)}
 
 
-def test_cut_of_an_answer_lets_the_request_through() -> None:
-    # A cut at byte 0 once ended the request on its way up as well.
+def test_cutting_the_answer_does_not_cut_the_request() -> None:
+    # A proxy that cut the answer at byte 0 also cut the request being sent.
     _, address = gateway.start_engine()
     with futures.ThreadPoolExecutor(_WORKERS) as pool:
-        ends = list(
+        results = list(
             pool.map(lambda _: _cut_at(address, 0, 1), range(200)),
         )
-    assert set(ends) == {(Outcome.complete, gateway.whole_text(), True)}
+    assert set(results) == {(Outcome.complete, gateway.whole_text(), True)}
 
 
-def test_resume_may_overtake_the_request() -> None:
+def test_resume_may_arrive_before_the_request() -> None:
     engine, address = gateway.start_engine()
-    early = itertools.count()
+    resumes = itertools.count()
 
-    def deaf_at_first(req: Request) -> Response:  # noqa: WPS430
-        if req.path.startswith('/v1/streams/') and not next(early):
+    def reject_first_resume(req: Request) -> Response:  # noqa: WPS430
+        if req.path.startswith('/v1/streams/') and not next(resumes):
             return not_found()
         return engine.handle(req)
 
-    with FaultProxy(gateway.serve(deaf_at_first)) as proxy:
+    with FaultProxy(gateway.serve(reject_first_resume)) as proxy:
         proxy.faults = ProxyFaults(cut_down_after=0)
         outcome, ticket = gateway.run_once(next(_NUMBERS), proxy.address)
     assert outcome == Outcome.complete
     assert gateway.text_of(ticket) == gateway.whole_text()
 
 
-def test_cancel_ends_a_stream_under_way() -> None:
-    # After the head of an answer the connection object has no socket left.
+def test_cancel_stops_an_open_stream() -> None:
+    # Once the head of a response has been read, the connection object no
+    # longer has a socket that could be closed.
     _, address = gateway.start_engine(_SLOW)
     run = gateway.make_run(next(_NUMBERS), address)
     with futures.ThreadPoolExecutor(1) as pool:
         end = pool.submit(run.execute, lambda start: None)
-        assert run.ticket.part(0, _PATIENCE_S)
+        assert run.ticket.part(0, _TIMEOUT_S)
         run.cancel()
-        assert end.result(_PATIENCE_S).outcome == Outcome.stopped
+        assert end.result(_TIMEOUT_S).outcome == Outcome.stopped
     assert not run.ticket.is_complete
 
 
-def test_cut_again_and_again_is_never_complete() -> None:
+def test_repeatedly_cut_answer_is_never_complete() -> None:
     _, address = gateway.start_engine()
     for byte in range(0, 400, 40):
         outcome, text, complete = _cut_at(address, byte, 99)
@@ -83,12 +84,12 @@
         assert gateway.whole_text().startswith(text)
 
 
-def test_answers_that_cross_do_not_mix() -> None:
+def test_concurrent_answers_are_not_mixed_up() -> None:
     _, address = gateway.start_engine()
     with FaultProxy(address) as proxy:
         proxy.faults.hold = 4
         with futures.ThreadPoolExecutor(4) as pool:
-            ends = list(
+            results = list(
                 pool.map(
                     lambda _: gateway.run_once(
                         next(_NUMBERS),
@@ -97,8 +98,8 @@
                     range(4),
                 ),
             )
-    assert {outcome for outcome, _ in ends} == {Outcome.complete}
-    for _, ticket in ends:
+    assert {outcome for outcome, _ in results} == {Outcome.complete}
+    for _, ticket in results:
         assert gateway.text_of(ticket) == gateway.whole_text()
 
 
