--- a/packages/node/src/tallyhall_node/actions.py
+++ b/packages/node/src/tallyhall_node/actions.py
@@ -77,7 +77,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Write an event with its fields to the log."""
+    """Write a numbered event to the log.
+
+    fields: further values, for people and for the programs that check logs.
+    """
 
     event: Event
     fields: dict[str, str | int | float | bool]
--- a/packages/node/src/tallyhall_node/node.py
+++ b/packages/node/src/tallyhall_node/node.py
@@ -109,7 +109,7 @@
     ) -> Submission:
         """Submit a caller's request, new or repeated."""
         view = self.view
-        self._detect_pause(now)
+        self._suspend_after_pause(now)
         if not view.ready:
             return _refused(
                 str(request_id or self._generate_id(now)),
@@ -133,8 +133,8 @@
         if request_id.window < self.window(now) - 1:
             # The request may have been answered and removed already.
             return _refused(text, Reason.takeover_unknown)
-        is_current = request_id.window <= self.window(now)
-        if not is_current or request_id.epoch > view.assignment.epoch:
+        window_has_begun = request_id.window <= self.window(now)
+        if not window_has_begun or request_id.epoch > view.assignment.epoch:
             return _refused(text, Reason.bad_request_id)
         return Submission(
             text,
@@ -154,9 +154,9 @@
             if entry.table
         }
         loads = [entry.load for entry in candidates.values()]
-        overload = 2 * sum(loads) / max(len(loads), 1) + 8
+        max_load = 2 * sum(loads) / max(len(loads), 1) + 8
         order = rendezvous.rank(key, candidates)
-        order.sort(key=lambda name: candidates[name].load > overload)
+        order.sort(key=lambda name: candidates[name].load > max_load)
         down = self.view.kv_down(now)
         return [
             LocatedEntry(
@@ -193,7 +193,7 @@
         instance: str,
         now: float,
     ) -> list[Action]:
-        """Process that a relay could not connect to the instance."""
+        """Handle a relay that could not connect to the instance."""
         return self.takeovers.on_relay_failed(rid, spec, instance, now)
 
     # -- events from the platform
@@ -222,7 +222,7 @@
         ]
 
     def on_edits_failed(self, now: float) -> list[Action]:
-        """Process that proposed edits could not be applied."""
+        """Handle a failure to apply proposed edits."""
         return self.takeovers.on_edits_failed(now)
 
     def on_kv(self, *, up: bool) -> None:
@@ -259,7 +259,7 @@
         now: float,
     ) -> list[Action]:
         """Process a message; mypy checks that all types are handled."""
-        self._detect_pause(now)
+        self._suspend_after_pause(now)
         match message:  # noqa: WPS242
             case Ask():
                 return self.owner.on_permit_request(sender, message, now)
@@ -296,7 +296,7 @@
 
     def tick(self, now: float) -> list[Action]:
         """Run all timers; to be called a few times per second."""
-        self._detect_pause(now)
+        self._suspend_after_pause(now)
         window = self.window(now)
         return [
             *self.member.tick(now, window, self.home.load),
@@ -331,7 +331,7 @@
 
     # -- internals
 
-    def _detect_pause(self, now: float) -> None:
+    def _suspend_after_pause(self, now: float) -> None:
         # A paused process may have been replaced as an owner, and its record
         # of the running requests is outdated. A process that is only busy
         # receives its inputs late but without such a gap.
--- a/packages/node/src/tallyhall_node/owner.py
+++ b/packages/node/src/tallyhall_node/owner.py
@@ -86,7 +86,7 @@
                 self._owned.pop(name)
         for service, tenure in view.assignment.owners.items():
             if tenure.owner == view.me and service not in self._owned:
-                out += self._start(service, tenure.since, now)
+                out += self._start_pool(service, tenure.since, now)
         fenced = view.assignment.fenced.keys()
         for owned in self._owned.values():
             owned.pool.drop_waiting(fenced)
@@ -154,7 +154,7 @@
     def on_permit_request_cancelled(
         self, msg: Withdraw, now: float
     ) -> list[Action]:
-        """Process that a home no longer needs a permit."""
+        """Cancel a permit request, or release a permit that is not used."""
         self._quarantine.remove_attempt(msg.id)
         owned = self._owned.get(msg.service)
         return (
@@ -246,7 +246,7 @@
 
     # -- internals
 
-    def _start(
+    def _start_pool(
         self,
         service: str,
         since: int,
@@ -280,7 +280,9 @@
             return []
         if view.deputy_of(service, now) != view.me:
             return []
-        return self._start(service, view.owner_since(service), now, deputy=True)
+        return self._start_pool(
+            service, view.owner_since(service), now, deputy=True
+        )
 
     def _request_reports(
         self,
--- a/packages/node/src/tallyhall_node/view.py
+++ b/packages/node/src/tallyhall_node/view.py
@@ -21,7 +21,7 @@
 from tallyhall_table.errors import TableError
 from tallyhall_table.model import Table
 
-from . import instances as lists
+from . import instances as instance_lists
 from .actions import Action, Send
 from .settings import NodeSettings
 
@@ -36,7 +36,7 @@
         self.shared = SharedValues()
         self.table = Table()
         self.assignment = assignments.Assignment()
-        self.instances = lists.InstanceList()
+        self.instances = instance_lists.InstanceList()
 
     @property
     def me(self) -> str:
@@ -62,7 +62,7 @@
         except (
             TableError,
             assignments.BadAssignmentError,
-            lists.BadInstanceListError,
+            instance_lists.BadInstanceListError,
         ):
             return False
         return self.shared.take(offered)
@@ -126,4 +126,4 @@
         elif offered.name == ASSIGNMENT:
             self.assignment = assignments.decode(offered.text)
         elif offered.name == INSTANCES:
-            self.instances = lists.decode(offered.text)
+            self.instances = instance_lists.decode(offered.text)
--- a/tests/unit/cluster.py
+++ b/tests/unit/cluster.py
@@ -19,7 +19,7 @@
 from tallyhall_membership.members import MemberSettings
 from tallyhall_membership.shared import ASSIGNMENT, INSTANCES, NAMES, TABLE
 from tallyhall_node import actions as acts
-from tallyhall_node import instances as lists
+from tallyhall_node import instances as instance_lists
 from tallyhall_node.node import Node
 from tallyhall_node.settings import NodeSettings
 
@@ -464,15 +464,17 @@
         node = Node(entry, _CFG, self.now)
         self.nodes[name] = node
         node.on_kv(up=self.kv_up)
-        listed = lists.InstanceList(
+        listed = instance_lists.InstanceList(
             tuple(
-                lists.ListedUpstream(build.SERVICE, up, f'{up}:1', False)
+                instance_lists.ListedUpstream(
+                    build.SERVICE, up, f'{up}:1', False
+                )
                 for up in ('engine-0', 'engine-1')
             ),
         )
         texts = {
             TABLE: build.table().model_dump_json(),
-            INSTANCES: lists.encode(listed),
+            INSTANCES: instance_lists.encode(listed),
         }
         for shared, text in texts.items():
             value = SharedValue(shared, 1, text)
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -5,7 +5,7 @@
 from tallyhall_daemon.orders import LEASE_S, ServiceLease
 from tallyhall_membership import assignment as assignments
 from tallyhall_membership.shared import ASSIGNMENT, INSTANCES, TABLE
-from tallyhall_node import instances as lists
+from tallyhall_node import instances as instance_lists
 from tallyhall_node.node import Node
 from tallyhall_node.settings import NodeSettings
 from tallyhall_sources.errors import UnavailableError
@@ -70,12 +70,16 @@
     table = table.model_copy(update={'services': (service,)})
     owners = {build.SERVICE: assignments.Tenure(node.view.me, 7)}
     upstreams = tuple(
-        lists.ListedUpstream(build.SERVICE, name, f'{name}:1', leaving=False)
+        instance_lists.ListedUpstream(
+            build.SERVICE, name, f'{name}:1', leaving=False
+        )
         for name in ('engine-0', 'engine-1')
     )
     texts = {
         TABLE: table.model_dump_json(),
-        INSTANCES: lists.encode(lists.InstanceList(upstreams)),
+        INSTANCES: instance_lists.encode(
+            instance_lists.InstanceList(upstreams)
+        ),
         ASSIGNMENT: assignments.encode(assignments.Assignment(7, owners)),
     }
     for name, text in texts.items():
