--- a/packages/node/src/tallyhall_node/home.py
+++ b/packages/node/src/tallyhall_node/home.py
@@ -297,7 +297,7 @@
 
     def _find_owner(self, service: str, *, takeover: bool, now: float) -> str:
         if self._view.owner_since(service) < self._owner_epochs.get(service, 0):
-            # A newer owner has sent a message, but the assignment that
+            # A newer owner has requested a report, but the assignment that
             # names it has not arrived yet.
             return ''
         owner = self._view.owner_of(service)
--- a/packages/node/src/tallyhall_node/owner.py
+++ b/packages/node/src/tallyhall_node/owner.py
@@ -67,7 +67,7 @@
         return {name: own.pool.counts() for name, own in self._owned.items()}
 
     def suspend(self, now: float) -> None:
-        """Stop permitting and refusing until all homes have reported again."""
+        """Stop permitting and refusing until homes have reported again."""
         for owned in self._owned.values():
             owned.pool.ready = False
             owned.suspended = True
@@ -169,7 +169,7 @@
         )
 
     def on_running_report(self, report: Holding, now: float) -> list[Action]:
-        """Record the running requests of a home; start once all reported."""
+        """Record the running requests of a home; permit once all reported."""
         owned = self._owned.get(report.service)
         if owned is None or owned.since != report.since:
             return []
