--- a/packages/admission/src/tallyhall_admission/forecast.py
+++ b/packages/admission/src/tallyhall_admission/forecast.py
@@ -1,8 +1,8 @@
-"""Forecasts that decide what waits, what is refused and what is stopped.
+"""Wait time forecasts on which refusals and revocations are based.
 
-All take the owner's exact knowledge of queue and running work; the speeds
-are learned. Unknown speeds forecast zero, so that nothing is refused before
-there is evidence for it.
+The owner knows the queue and the running requests exactly; run times are
+estimates. Without samples the estimates are 0, so that no request is refused
+before its upstreams are known to be too slow.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Collection, Iterable
 
 from .jobs import Grant, Job
-from .pace import Paces
+from .run_time import ServiceRunTimes
 from .waiting import WaitingJobs
 
-# A waiting job counts as urgent once less than this share of its slack is
-# left for waiting on its own.
+# A waiting job is urgent once the expected wait exceeds this share of its
+# slack.
 _URGENT_SHARE = 0.5
 
 
@@ -22,48 +22,48 @@
     job: Job,
     waiting: WaitingJobs,
     grants: Collection[Grant],
-    paces: Paces,
+    run_times: ServiceRunTimes,
     weight: Callable[[str], float],
 ) -> float:
-    """Return how long a job would wait if it joined the queue now.
+    """Return the expected wait of a job that is queued now.
 
-    The work ahead is all of the higher tiers, and of its own tier either
-    everything or, if that is less, its own workspace's work scaled up by the
-    share that the workspace has among those waiting.
+    The work ahead is that of all higher tiers plus, of its own tier, the
+    smaller of two amounts: all work, or the work of its own workspace divided
+    by the workspace's weighted share among the waiting workspaces.
     """
-    if not paces.slots:
+    if not run_times.slots:
         return 0
-    run = paces.mean.run
-    ahead = sum(run(other) for other in waiting.above(job))
-    same = {
+    run = run_times.mean.expected_run_s
+    work_ahead_s = sum(run(other) for other in waiting.in_higher_tiers(job))
+    same_tier_s = {
         name: sum(run(other) for other in jobs)
-        for name, jobs in waiting.beside(job).items()
+        for name, jobs in waiting.in_same_tier(job).items()
     }
-    names = same.keys() | {job.ask.workspace}
+    names = same_tier_s.keys() | {job.ask.workspace}
     share = weight(job.ask.workspace) / sum(weight(name) for name in names)
-    own = same.get(job.ask.workspace, 0)
-    ahead += min(sum(same.values()), own / share)
-    if paces.free and not ahead:
+    own_work_s = same_tier_s.get(job.ask.workspace, 0)
+    work_ahead_s += min(sum(same_tier_s.values()), own_work_s / share)
+    if run_times.free_slots and not work_ahead_s:
         return 0
-    residual = sum(run(grant.job) for grant in grants) / 2
-    next_free = residual / max(len(grants), 1) / paces.slots
-    return ahead / paces.slots + next_free
+    remaining_s = sum(run(grant.job) for grant in grants) / 2
+    next_free = remaining_s / max(len(grants), 1) / run_times.slots
+    return work_ahead_s / run_times.slots + next_free
 
 
 def urgent_jobs(
     waiting: WaitingJobs,
-    paces: Paces,
+    run_times: ServiceRunTimes,
     now: float,
 ) -> list[Job]:
-    """Return the waiting jobs that cannot wait for room to come by itself."""
-    if not paces.slots:
+    """Return the jobs that would be late unless slots are freed for them."""
+    if not run_times.slots:
         return []
     urgent = []
-    ahead: float = 0
+    work_ahead_s: float = 0
     for job in waiting:
-        ahead += paces.mean.run(job)
-        slack = job.deadline - now - paces.fastest.run(job)
-        if ahead / paces.slots > slack * _URGENT_SHARE:
+        work_ahead_s += run_times.mean.expected_run_s(job)
+        slack = job.deadline - now - run_times.fastest.expected_run_s(job)
+        if work_ahead_s / run_times.slots > slack * _URGENT_SHARE:
             urgent.append(job)
     return urgent
 
@@ -73,10 +73,11 @@
     rank: int,
     upstreams: set[str],
 ) -> Grant | None:
-    """Return the running lower-tier job whose loss costs least.
+    """Return the running lower-tier job that is cheapest to revoke.
 
-    The lowest tier goes first, then idempotent ones, then the least prompt
-    work. Work on an upstream that takes no new work frees no usable room.
+    Ordered by lowest tier, then idempotent jobs, then least prompt
+    computation. Jobs on upstreams that are not in `upstreams` are skipped,
+    since their slots could not be used for new requests.
     """
     best: Grant | None = None
     for grant in grants:
@@ -84,14 +85,14 @@
             continue
         if grant.upstream not in upstreams:
             continue
-        if best is None or _loss(grant) < _loss(best):
+        if best is None or _revocation_cost(grant) < _revocation_cost(best):
             best = grant
     return best
 
 
-def _loss(grant: Grant) -> tuple[int, bool, int]:
+def _revocation_cost(grant: Grant) -> tuple[int, bool, int]:
     return (
         -grant.job.rank,
         not grant.job.ask.idempotent,
-        grant.lost_tokens,
+        grant.uncached_tokens,
     )
--- a/packages/admission/src/tallyhall_admission/jobs.py
+++ b/packages/admission/src/tallyhall_admission/jobs.py
@@ -1,4 +1,4 @@
-"""One request as its owner sees it, waiting or permitted."""
+"""Requests at the owner of a service: queued jobs and issued permits."""
 
 from __future__ import annotations
 
@@ -7,61 +7,63 @@
 from tallyhall_core.ids import RequestId
 from tallyhall_core.messages import Ask
 
-# Share of a job's remaining time that may go into decoding.
+# Share of a job's remaining time that decoding may take.
 _DECODE_SHARE = 0.8
-# How long a job waits for an upstream that has its prefix, at the most, and
-# as a share of the time to its deadline.
-_PATIENT_S = 3.0
-_PATIENT_SHARE = 0.15
+# Longest wait for a slot on an upstream that has the job's prefix cached, in
+# seconds and as a share of the time to the job's deadline.
+_MAX_PREFIX_WAIT_S = 3.0
+_MAX_PREFIX_WAIT_SHARE = 0.15
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """A request that waits.
+    """A request that waits for a permit.
 
-    deadline: on the owner's clock. output: expected output tokens. rank: of
-    its tier, 0 the highest. cached: prompt tokens that some upstream is
-    expected to have.
+    rank: rank of its tier, 0 is the highest. deadline: on the owner's clock.
+    expected_output: in tokens. expected_cached: the most prompt tokens that
+    any upstream is expected to have cached.
     """
 
     ask: Ask
     rid: RequestId
     rank: int
     deadline: float
-    output: float
-    arrived: float
-    cached: int = 0
+    expected_output: float
+    arrived_at: float
+    expected_cached: int = 0
 
     @property
-    def patient_until(self) -> float:
-        """Return until when it waits for an upstream that has its prefix."""
-        span = self.deadline - self.arrived
-        return self.arrived + min(_PATIENT_S, _PATIENT_SHARE * span)
+    def prefix_wait_until(self) -> float:
+        """Return until when it waits for an upstream with its prefix."""
+        span = self.deadline - self.arrived_at
+        return self.arrived_at + min(
+            _MAX_PREFIX_WAIT_S, _MAX_PREFIX_WAIT_SHARE * span
+        )
 
     @property
     def cost(self) -> float:
-        """Return the tokens that fairness charges for it."""
-        return max(1.0, self.ask.prompt_tokens + self.output)
+        """Return the tokens charged to its workspace for fair sharing."""
+        return max(1.0, self.ask.prompt_tokens + self.expected_output)
 
 
 @dataclasses.dataclass(slots=True)
 class Grant:
-    """A permit in use, or not yet used."""
+    """A permit that was issued and not returned."""
 
     job: Job
     upstream: str
-    granted: float
+    granted_at: float
     expected_cached: int = 0
     revoked: bool = False
     revoked_at: float = 0
 
     @property
-    def needed_gap_s(self) -> float:
-        """Return the time between tokens that still ends in time."""
-        left = self.job.deadline - self.granted
-        return _DECODE_SHARE * left / max(self.job.output, 1)
+    def required_gap_s(self) -> float:
+        """Return the time between tokens that just meets the deadline."""
+        left = self.job.deadline - self.granted_at
+        return _DECODE_SHARE * left / max(self.job.expected_output, 1)
 
     @property
-    def lost_tokens(self) -> int:
-        """Return the prompt work thrown away if it is stopped now."""
+    def uncached_tokens(self) -> int:
+        """Return the prompt tokens whose computation a revocation wastes."""
         return max(0, self.job.ask.prompt_tokens - self.expected_cached)
--- a/packages/admission/src/tallyhall_admission/memory.py
+++ b/packages/admission/src/tallyhall_admission/memory.py
@@ -1,10 +1,10 @@
-"""What an owner has permitted, and what it no longer remembers.
+"""Record of the permits that an owner has issued.
 
-A taker may dispatch a request only if the owner is certain never to have
-permitted it. The memory is therefore never trimmed by a clock alone: each id
-carries its home's window, a home mints only in its present window, and once
-records of a window are dropped, every id of that window or an earlier one is
-answered `forgotten` and is never permitted again.
+An instance that takes over a request may dispatch it only if the owner is
+certain that no permit was issued before. Records are therefore not expired by
+time alone: each id contains a window of its home, and a home generates ids in
+its current window only. Once the records of a window are deleted, every id of
+that window or an earlier one is reported as `forgotten` and gets no permit.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 FORGOTTEN = 'forgotten'
 NEVER = 'never'
 PERMITTED = 'permitted'
-_EVERY_WINDOW = 1_000_000_000_000
+_MAX_WINDOW = 1_000_000_000_000
 
 # nonce -> (holder, upstream)
 _Window = dict[str, tuple[str, str]]
@@ -25,12 +25,12 @@
 @dataclasses.dataclass(slots=True)
 class _HomeRecords:
     windows: dict[int, _Window] = dataclasses.field(default_factory=dict)
-    forgotten: int = -1
+    last_forgotten: int = -1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Recall:
-    """What the memory says of one id."""
+    """Result of a lookup of one id."""
 
     state: str
     holder: str = ''
@@ -38,15 +38,15 @@
 
 
 class PermitMemory:
-    """Permits given, by home, window and nonce."""
+    """Issued permits by home, window and nonce."""
 
     def __init__(self, windows_kept: int) -> None:
-        """Keep the records of this many windows of each home."""
-        self._kept = windows_kept
+        """Keep the records of this many windows per home."""
+        self._windows_kept = windows_kept
         self._homes: dict[str, _HomeRecords] = {}
 
     def __len__(self) -> int:
-        """Return the number of ids remembered."""
+        """Return the number of recorded ids."""
         return sum(
             len(records)
             for home in self._homes.values()
@@ -54,11 +54,11 @@
         )
 
     def recall(self, rid: RequestId) -> Recall:
-        """Return whether the id was permitted, never was, or is forgotten."""
+        """Return whether the id was permitted, was not, or is forgotten."""
         home = self._homes.get(str(rid.home))
         if home is None:
             return Recall(NEVER)
-        if rid.window <= home.forgotten:
+        if rid.window <= home.last_forgotten:
             return Recall(FORGOTTEN)
         known = home.windows.get(rid.window, {}).get(rid.nonce)
         if known is None:
@@ -66,23 +66,23 @@
         return Recall(PERMITTED, *known)
 
     def record(self, rid: RequestId, holder: str, upstream: str) -> None:
-        """Remember a permit, and drop windows that are too old."""
+        """Record a permit and delete the windows that are too old."""
         home = self._homes.setdefault(str(rid.home), _HomeRecords())
         home.windows.setdefault(rid.window, {})[rid.nonce] = (holder, upstream)
-        oldest = max(home.windows) - self._kept
+        oldest = max(home.windows) - self._windows_kept
         for window in tuple(home.windows):
             if window > oldest:
                 continue
             home.windows.pop(window)
-            home.forgotten = max(home.forgotten, window)
-        home.forgotten = max(home.forgotten, oldest)
+            home.last_forgotten = max(home.last_forgotten, window)
+        home.last_forgotten = max(home.last_forgotten, oldest)
 
     def drop(self, home: str) -> None:
-        """Forget everything of a home that is gone; its ids stay barred."""
-        self._homes[home] = _HomeRecords(forgotten=_EVERY_WINDOW)
+        """Delete the records of a dead home; its ids stay `forgotten`."""
+        self._homes[home] = _HomeRecords(last_forgotten=_MAX_WINDOW)
 
     def homes(self) -> set[str]:
-        """Return the homes of which any record is kept."""
+        """Return the homes that have records."""
         return {
             home for home, records in self._homes.items() if records.windows
         }
--- a/packages/admission/src/tallyhall_admission/outgoing.py
+++ b/packages/admission/src/tallyhall_admission/outgoing.py
@@ -1,4 +1,4 @@
-"""Messages that an owner sends to homes."""
+"""Messages from the owner of a service to homes."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from tallyhall_core.messages import Ask, AskRefused, Message, Running
 from tallyhall_core.refusals import Reason
 
-_RETRY_FLOOR_S = 0.5
+_MIN_RETRY_AFTER_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message for one home."""
+    """A message and the home that it is sent to."""
 
     to: str
     message: Message
 
 
 def refuse(ask: Ask, reason: Reason, wait_s: float) -> Outgoing:
-    """Return the refusal of an ask; `wait_s` tells when to come back."""
-    retry = max(wait_s, _RETRY_FLOOR_S)
+    """Return a refusal that allows a retry after about `wait_s`."""
+    retry = max(wait_s, _MIN_RETRY_AFTER_S)
     message = AskRefused(ask.id, ask.service, ask.attempt, reason, retry)
     return Outgoing(ask.holder, message)
 
 
 def running_of(ask: Ask, upstream: str, left_s: float) -> Running:
-    """Return a home's report of one running request."""
+    """Return the entry of a running request in its home's report."""
     return Running(
         ask.id,
         upstream,
--- a/packages/admission/src/tallyhall_admission/policy.py
+++ b/packages/admission/src/tallyhall_admission/policy.py
@@ -1,7 +1,7 @@
-"""How an upstream is chosen: the policies that the bench compares.
+"""Load balancing policies: how an upstream is chosen for a request.
 
-`tallyhall` is the product's own. The others are baselines: they know only
-what a plain balancer knows, keep no queue and ignore limits.
+`tallyhall` is the default. The others are baselines for benchmarks: they use
+only the data of a plain load balancer, keep no queue and ignore limits.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 TALLYHALL = 'tallyhall'
 POLICIES = (ROUND_ROBIN, LEAST_LOAD, TALLYHALL)
 
-# Prompt work thrown away counts this many times its seconds, and at least as
-# if a prompt token took this long.
-_LOST_WEIGHT = 3.0
-_LEAST_PROMPT_S = 0.0002
+# Prompt tokens that must be computed, since they are not cached, are weighted
+# by this factor of their expected time, with a minimum time per token.
+_PREFILL_WEIGHT = 3.0
+_MIN_PREFILL_S_PER_TOKEN = 0.0002
 
 
 class Policy(Protocol):
     """Choice of an upstream for one request."""
 
     @property
-    def bounded(self) -> bool:
+    def queues_requests(self) -> bool:
         """Whether requests wait for a free slot and may be refused."""
 
     def choose(
@@ -41,14 +41,14 @@
     ) -> Upstream | None:
         """Return the upstream to use now, or None to wait.
 
-        Only upstreams that are open are passed in.
+        `upstreams` contains only upstreams that are available.
         """
 
 
 class RoundRobin:
-    """Each upstream in turn, whatever its load."""
+    """Chooses the upstreams in turn, regardless of load."""
 
-    bounded = False
+    queues_requests = False
 
     def __init__(self) -> None:
         """Start with the first upstream."""
@@ -69,9 +69,9 @@
 
 
 class LeastLoad:
-    """The upstream with the least load in its last report."""
+    """Chooses the upstream with the lowest reported load."""
 
-    bounded = False
+    queues_requests = False
 
     def choose(
         self,
@@ -80,21 +80,21 @@
         output: float,
         left_s: float,
     ) -> Upstream | None:
-        """Return the least loaded; what was sent since then counts too."""
+        """Return the least loaded, counting requests since its report."""
         if not upstreams:
             return None
         return min(upstreams, key=_reported_load)
 
 
-class ExpectedTime:
-    """Least expected time, with prompt work thrown away counted as time.
+class LeastExpectedTime:
+    """Chooses the upstream with the least expected run time.
 
-    Upstreams without a free slot are left out, so a request never queues in
-    an engine, where no tier order exists; so are those on which it would end
-    too late.
+    The computation of uncached prompt tokens counts extra. Upstreams without
+    a free slot are excluded, so that no request queues in an engine, which
+    does not order by tier; so are those that would miss the deadline.
     """
 
-    bounded = True
+    queues_requests = True
 
     def choose(
         self,
@@ -103,22 +103,22 @@
         output: float,
         left_s: float,
     ) -> Upstream | None:
-        """Return the free upstream of least cost in seconds."""
+        """Return the free upstream with the lowest cost in seconds."""
         best: Upstream | None = None
         best_cost: tuple[float, float] = (0, 0)
-        usual: float = 0
+        default_run: float = 0
         if not all(upstream.speed.is_known for upstream in upstreams):
-            usual = _usual_run(ask, upstreams, output)
+            default_run = _mean_run_s(ask, upstreams, output)
         for upstream in upstreams:
-            if not upstream.free():
+            if not upstream.free_slots():
                 continue
-            computed = _computed(ask, upstream)
-            run = usual
+            uncached = _uncached_tokens(ask, upstream)
+            run = default_run
             if upstream.speed.is_known:
-                run = upstream.speed.run(computed, output)
+                run = upstream.speed.expected_run_s(uncached, output)
             if run > left_s:
                 continue
-            cost = _cost(upstream, run, computed)
+            cost = _cost(upstream, run, uncached)
             if best is None or cost < best_cost:
                 best = upstream
                 best_cost = cost
@@ -126,42 +126,42 @@
 
 
 def make_policy(name: str) -> Policy:
-    """Return the policy of this name."""
+    """Return the policy with this name."""
     if name == ROUND_ROBIN:
         return RoundRobin()
     if name == LEAST_LOAD:
         return LeastLoad()
-    return ExpectedTime()
+    return LeastExpectedTime()
 
 
 def expected_output(
     lengths: OutputLengths,
     ask: Ask,
 ) -> float:
-    """Return the output tokens to expect of a request; 0 for plain calls."""
+    """Return the expected output tokens; 0 for plain calls."""
     if not ask.prompt_tokens:
         return 0
-    return lengths.expect(ask.workspace, ask.max_tokens)
+    return lengths.predict(ask.workspace, ask.max_tokens)
 
 
-def _computed(ask: Ask, upstream: Upstream) -> int:
+def _uncached_tokens(ask: Ask, upstream: Upstream) -> int:
     cached = upstream.cache.cached_tokens(ask.prefixes)
     return max(0, ask.prompt_tokens - cached)
 
 
-def _usual_run(
+def _mean_run_s(
     ask: Ask,
     upstreams: Sequence[Upstream],
     output: float,
 ) -> float:
-    """Return the mean run of the known upstreams, 0 if none is known.
+    """Return the mean run time on upstreams with samples, 0 if none has any.
 
-    An upstream of which nothing is known is expected to be like the others;
-    taken for instant, it would get the work of which most is lost if it
-    turns out to be slow.
+    It is the estimate for upstreams without samples. With an estimate of 0
+    these would get the most expensive requests, which would be lost if the
+    upstream turned out to be slow.
     """
     runs = [
-        upstream.speed.run(_computed(ask, upstream), output)
+        upstream.speed.expected_run_s(_uncached_tokens(ask, upstream), output)
         for upstream in upstreams
         if upstream.speed.is_known
     ]
@@ -169,19 +169,19 @@
 
 
 def _reported_load(upstream: Upstream) -> float:
-    return upstream.reported + upstream.sent_since_report
+    return upstream.reported_requests + upstream.sent_since_report
 
 
 def _cost(
     upstream: Upstream,
     run: float,
-    lost_tokens: int,
+    uncached_tokens: int,
 ) -> tuple[float, float]:
     lost = max(
-        upstream.speed.prefill(lost_tokens),
-        lost_tokens * _LEAST_PROMPT_S,
+        upstream.speed.prefill_s(uncached_tokens),
+        uncached_tokens * _MIN_PREFILL_S_PER_TOKEN,
     )
     load = upstream.running / upstream.limit.slots
-    # Sharing an engine slows every stream on it by about its load.
-    seconds = run * (1 + load) + _LOST_WEIGHT * lost
+    # Every stream on an engine slows down roughly in proportion to its load.
+    seconds = run * (1 + load) + _PREFILL_WEIGHT * lost
     return (seconds, load)
--- a/packages/admission/src/tallyhall_admission/pool.py
+++ b/packages/admission/src/tallyhall_admission/pool.py
@@ -1,7 +1,7 @@
-"""The owner's state of one service: every event answered with messages.
+"""Admission control of one service: handles the messages of homes.
 
-The roster keeps the books, the shedder decides on refusals, the policy on
-upstreams; the pool ties them to the messages of the homes.
+`ServiceState` records permits, upstreams and limits, `LoadShedder` decides on
+refusals and revocations, and the policy chooses upstreams.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from .memory import FORGOTTEN, PERMITTED
 from .outgoing import Outgoing, refuse
 from .policy import Policy, expected_output
-from .roster import Roster
+from .service_state import ServiceState
 from .settings import PoolSettings
-from .shedding import Shedder
+from .shedding import LoadShedder
 from .tiers import Tiers
 from .upstream import Upstream, UpstreamInfo
 from .waiting import WaitingJobs
 
-# Jobs of a workspace that are looked at for an upstream with their prefix.
+# Jobs per workspace that are considered for upstreams with their prefix.
 _LOOK_AHEAD = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolCounts:
-    """Numbers for `status`."""
+    """Counts that the `status` command shows."""
 
     waiting: int
     running: int
@@ -41,7 +41,7 @@
 
 
 class Pool:
-    """Admission to all upstreams of one service."""
+    """Admits requests to the upstreams of one service."""
 
     def __init__(
         self,
@@ -49,17 +49,17 @@
         policy: Policy,
         cfg: PoolSettings,
     ) -> None:
-        """Start without upstreams, not yet ready to permit."""
+        """Start without upstreams; permits are issued once `ready` is set."""
         self.service = service
         self.ready = False
-        self.roster = Roster(cfg)
+        self.roster = ServiceState(cfg)
         self._cfg = cfg
         self._policy = policy
         self._waiting = WaitingJobs()
-        self._shedder = Shedder(self.roster, self._waiting, cfg)
+        self._shedder = LoadShedder(self.roster, self._waiting, cfg)
 
     def configure(self, table: Table, now: float) -> None:
-        """Take a new table."""
+        """Apply a new table."""
         row = table.service(self.service) or ServiceRow(name=self.service)
         limits = {
             limit.workspace: limit
@@ -71,21 +71,21 @@
         self.roster.configure(row, limits, self._shedder.tiers, now)
 
     def take_instances(self, infos: tuple[UpstreamInfo, ...]) -> None:
-        """Take the instance list."""
+        """Apply a new instance list."""
         self.roster.take_instances(infos)
 
     def inherit_promises(self, now: float) -> None:
-        """Keep the promise that an earlier owner may have made."""
-        self._shedder.inherit_promises(now)
+        """Hold lower tiers, as an earlier owner may have decided."""
+        self._shedder.inherit_holds(now)
 
     def set_blind(self, *, blind: bool) -> None:
-        """Say whether some home's running work is unknown."""
-        self._shedder.blind = blind
+        """Set whether the running requests of some home are unknown."""
+        self._shedder.has_unreported_work = blind
 
-    # -- what homes say
+    # -- messages from homes
 
     def ask(self, ask: Ask, now: float) -> list[Outgoing]:
-        """Take a request for a permit."""
+        """Handle a request for a permit."""
         rid = RequestId.parse(ask.id)
         recall = self.roster.memory.recall(rid)
         if recall.state == FORGOTTEN:
@@ -97,7 +97,7 @@
             if grant.job.ask.attempt == ask.attempt:
                 return [self._permit(grant)]
             if grant.job.ask.attempt > ask.attempt:
-                # An ask that was sent twice and arrives late.
+                # A delayed duplicate of an earlier attempt.
                 return []
             self.roster.release(ask.id)
         waiting = self._waiting.get(ask.id)
@@ -107,29 +107,29 @@
         return self._enqueue(ask, rid, now)
 
     def done(self, done: Done, now: float) -> list[Outgoing]:
-        """Take a permit back; one repeated for an earlier attempt is old."""
+        """Release a returned permit; ignore duplicates of earlier attempts."""
         held = self.roster.grants.get(done.id)
         if held is None or held.job.ask.attempt != done.attempt:
             return []
         grant = self.roster.release(done.id)
         if grant is None:
             return []
-        self.roster.learn(grant, done, now)
+        self.roster.update_estimates(grant, done, now)
         return self._start_jobs(now)
 
     def withdraw(self, request_id: str, now: float) -> list[Outgoing]:
-        """Drop a waiting request, or a permit that was never used."""
+        """Remove a queued request, or release a permit that was not used."""
         self._waiting.remove(request_id)
         self.roster.release(request_id)
         return self._start_jobs(now)
 
     def progress(self, report: Progress, now: float) -> list[Outgoing]:
-        """Take what a home saw of an upstream's open streams."""
+        """Handle a home's report on the open streams of an upstream."""
         self.roster.progress(report, now)
         return self._start_jobs(now)
 
     def holding(self, holding: Holding, now: float) -> None:
-        """Take a home's running requests after a change of owner."""
+        """Record a home's running requests after a change of owner."""
         for running in holding.running:
             if running.id in self.roster.grants:
                 continue
@@ -149,35 +149,35 @@
             self.roster.record(Grant(job, running.upstream, now))
 
     def drop_waiting(self, homes: Set[str]) -> None:
-        """Drop what fenced incarnations wait for; they may run on."""
+        """Remove queued requests of fenced homes; running ones continue."""
         for job in list(self._waiting):
             if job.ask.holder in homes:
                 self._waiting.remove(job.ask.id)
 
     def homes_gone(self, homes: Set[str], now: float) -> list[Outgoing]:
-        """Drop what dead incarnations wait for and run."""
+        """Remove the queued and running requests of dead homes."""
         self.drop_waiting(homes)
         self.roster.release_homes(homes)
         return self._start_jobs(now)
 
-    # -- time
+    # -- timers
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Take back lost permits, give up late jobs, start others."""
-        self.roster.release_late(now)
+        """Release expired permits, start jobs and refuse late ones."""
+        self.roster.release_expired(now)
         if not self.ready:
             return []
         out = self._start_jobs(now)
-        if self._policy.bounded:
-            out += self._shedder.give_up_late(now)
-            out += self._shedder.remind(now)
-            out += self._shedder.make_room(now)
+        if self._policy.queues_requests:
+            out += self._shedder.refuse_late(now)
+            out += self._shedder.repeat_revocations(now)
+            out += self._shedder.revoke_for_urgent(now)
         return out
 
-    # -- reading
+    # -- status
 
     def counts(self) -> PoolCounts:
-        """Return numbers for `status`."""
+        """Return the counts for `status`."""
         return PoolCounts(
             len(self._waiting),
             len(self.roster.grants),
@@ -199,24 +199,26 @@
             wait = self.roster.limits.admit(ask.workspace, job.cost, now)
             if wait > 0:
                 return [refuse(ask, Reason.rate_limited, wait)]
-        if not (self._policy.bounded and self.ready):
+        if not (self._policy.queues_requests and self.ready):
             self._waiting.push(job)
             return self._start_jobs(now)
-        rejection = self._shedder.judge(job, now)
+        rejection = self._shedder.check_arrival(job, now)
         if rejection is not None:
-            out = self._shedder.bar_lower(job, rejection.reason, now)
+            out = self._shedder.hold_lower_tiers(job, rejection.reason, now)
             out.append(refuse(ask, rejection.reason, rejection.wait_s))
             return out
         self._waiting.push(job)
-        return self._start_jobs(now) + self._shedder.make_room(now)
+        return self._start_jobs(now) + self._shedder.revoke_for_urgent(now)
 
     def _start_jobs(self, now: float) -> list[Outgoing]:
-        """Permit as many waiting jobs as there is room for."""
+        """Issue permits to waiting jobs while there are free slots."""
         out: list[Outgoing] = []
         if not self.ready:
             return out
-        upstreams = self.roster.open_upstreams(now)
-        if self._policy.bounded and not any(up.free() for up in upstreams):
+        upstreams = self.roster.available_upstreams(now)
+        if self._policy.queues_requests and not any(
+            up.free_slots() for up in upstreams
+        ):
             return out
         grant = self._next_grant(upstreams, now)
         while grant is not None:
@@ -233,14 +235,14 @@
         upstreams: list[Upstream],
         now: float,
     ) -> Grant | None:
-        has_room = self.roster.limits.has_room
-        for jobs in self._waiting.turns(has_room, _LOOK_AHEAD):
-            grant = self._best_of(jobs, upstreams, now)
+        has_capacity = self.roster.limits.has_capacity
+        for jobs in self._waiting.next_by_workspace(has_capacity, _LOOK_AHEAD):
+            grant = self._select_grant(jobs, upstreams, now)
             if grant is not None:
                 return grant
         return None
 
-    def _best_of(
+    def _select_grant(
         self,
         jobs: list[Job],
         upstreams: list[Upstream],
@@ -248,25 +250,30 @@
     ) -> Grant | None:
         """Return a grant for one of a workspace's next jobs.
 
-        The first that finds an upstream with its prefix free, or has waited
-        for one long enough; without one, the first that need not wait.
+        Prefers the first job for which an upstream with its prefix is free,
+        or whose wait for such an upstream is over. Otherwise it is the first
+        job that does not have to wait for one.
         """
         fallback: Job | None = None
         for job in jobs:
-            if self._shedder.is_barred(job, now):
+            if self._shedder.is_held(job, now):
                 continue
-            usable = _usable(job, upstreams)
-            warm = _with_prefix(job, usable) if self._policy.bounded else usable
-            grant = self._grant_in_turn(job, warm, usable, now)
+            usable = _without_avoided(job, upstreams)
+            warm = (
+                _with_prefix(job, usable)
+                if self._policy.queues_requests
+                else usable
+            )
+            grant = self._grant_with_prefix(job, warm, usable, now)
             if grant is not None:
                 return grant
-            if fallback is None and all(up.free() for up in warm):
+            if fallback is None and all(up.free_slots() for up in warm):
                 fallback = job
         if fallback is None:
             return None
-        return self._grant(fallback, _usable(fallback, upstreams), now)
+        return self._grant(fallback, _without_avoided(fallback, upstreams), now)
 
-    def _grant_in_turn(
+    def _grant_with_prefix(
         self,
         job: Job,
         warm: list[Upstream],
@@ -274,8 +281,8 @@
         now: float,
     ) -> Grant | None:
         grant = self._grant(job, warm, now)
-        if grant is None and now >= job.patient_until:
-            # Else those with warm prefixes could go past it for ever.
+        if grant is None and now >= job.prefix_wait_until:
+            # Otherwise jobs with cached prefixes could starve this one.
             return self._grant(job, usable, now)
         return grant
 
@@ -288,7 +295,7 @@
         chosen = self._policy.choose(
             job.ask,
             upstreams,
-            job.output,
+            job.expected_output,
             job.deadline - now,
         )
         if chosen is None:
@@ -299,7 +306,7 @@
     def _job(self, ask: Ask, rid: RequestId, now: float) -> Job:
         rank = self._shedder.tiers.rank_of(ask.tier)
         output = expected_output(self.roster.lengths, ask)
-        cached = self.roster.best_cached(ask.prefixes)
+        cached = self.roster.max_cached_tokens(ask.prefixes)
         return Job(ask, rid, rank, now + ask.left_s, output, now, cached)
 
     def _permit(self, grant: Grant) -> Outgoing:
@@ -316,22 +323,22 @@
         return Outgoing(ask.holder, message)
 
 
-def _usable(job: Job, upstreams: list[Upstream]) -> list[Upstream]:
-    """Return the upstreams but the one to avoid, unless it is the only one."""
+def _without_avoided(job: Job, upstreams: list[Upstream]) -> list[Upstream]:
+    """Return the upstreams without `ask.avoid`, or all if none is left."""
     avoid = job.ask.avoid
     usable = [up for up in upstreams if up.info.name != avoid]
     return usable or upstreams
 
 
 def _with_prefix(job: Job, upstreams: list[Upstream]) -> list[Upstream]:
-    """Return the upstreams that keep most of the job's prefix, if any does."""
+    """Return the upstreams with the longest cached prefix of the job."""
     prefixes = job.ask.prefixes
-    kept = [up.cache.cached_tokens(prefixes) for up in upstreams]
-    most = max(kept, default=0)
-    if not most:
+    cached = [up.cache.cached_tokens(prefixes) for up in upstreams]
+    longest = max(cached, default=0)
+    if not longest:
         return []
     return [
         upstream
-        for upstream, tokens in zip(upstreams, kept, strict=True)
-        if tokens == most
+        for upstream, tokens in zip(upstreams, cached, strict=True)
+        if tokens == longest
     ]
--- a/packages/admission/src/tallyhall_admission/prefix.py
+++ b/packages/admission/src/tallyhall_admission/prefix.py
@@ -1,9 +1,9 @@
-"""Which prompt prefixes an upstream probably has in its cache.
+"""Predicts which prompt prefixes an upstream has cached.
 
-A prompt is a chain of block hashes; a block is cached only if all before it
-are. The prediction is a least-recently-used list of the blocks sent to the
-upstream, and each answer's own count of cached tokens corrects it: what the
-engine says it did not have is removed, whatever the cause.
+A prompt is a chain of block hashes; a block is cached only if all preceding
+blocks are. The prediction is an LRU list of the blocks sent to the upstream.
+Each response reports the number of cached tokens; if it is lower than
+predicted, blocks are removed from the prediction, whatever the cause.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class PrefixCache:
-    """Predicted cache content of one upstream, in blocks."""
+    """Predicted cache contents of one upstream, in blocks."""
 
     def __init__(self, capacity_tokens: int) -> None:
-        """Expect the upstream to keep this many tokens."""
+        """Assume that the upstream caches this many tokens."""
         self._blocks: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self._capacity = max(1, capacity_tokens // BLOCK_TOKENS)
 
     def resize(self, capacity_tokens: int) -> None:
-        """Take the capacity that the upstream reports."""
+        """Set the capacity that the upstream reports."""
         self._capacity = max(1, capacity_tokens // BLOCK_TOKENS)
         self._evict()
 
     def cached_tokens(self, prefixes: tuple[str, ...]) -> int:
-        """Return the tokens of the longest prefix expected in the cache."""
+        """Return the length of the longest prefix predicted as cached."""
         blocks = 0
         for block in prefixes:
             if block not in self._blocks:
@@ -37,8 +37,8 @@
             blocks += 1
         return blocks * BLOCK_TOKENS
 
-    def sent(self, prefixes: tuple[str, ...]) -> None:
-        """Take that a prompt with these blocks goes to the upstream."""
+    def record_prompt(self, prefixes: tuple[str, ...]) -> None:
+        """Record that a prompt with these blocks is sent to the upstream."""
         for block in reversed(prefixes):
             self._blocks[block] = None
             self._blocks.move_to_end(block)
@@ -50,11 +50,11 @@
         expected_tokens: int,
         cached_tokens: int,
     ) -> None:
-        """Take what the engine really had when the prompt arrived.
+        """Correct the prediction by the reported number of cached tokens.
 
-        Only a shortfall says something: blocks beyond it that this prompt
-        brought in are there now, but older ones have been evicted, so the
-        cache is smaller or busier than expected.
+        Only a shortfall is used. The blocks of this prompt are cached by now,
+        but as many of the oldest other blocks are assumed to be evicted: the
+        cache is smaller or used more than expected.
         """
         shortfall = (expected_tokens - cached_tokens) // BLOCK_TOKENS
         if shortfall <= 0:
--- a/packages/admission/src/tallyhall_admission/roster.py
+++ b/packages/admission/src/tallyhall_admission/service_state.py
@@ -1,7 +1,6 @@
-"""The upstreams of one service and everything permitted on them.
+"""Upstreams, permits, limit usage and estimates of one service.
 
-Plain bookkeeping: what runs where, what the rows use, what was permitted
-and what was learned. It decides nothing.
+Holds the state only; decisions are made in `pool` and `shedding`.
 """
 
 from __future__ import annotations
@@ -14,26 +13,26 @@
 from .concurrency import AdaptiveLimit
 from .estimate import OutputLengths
 from .jobs import Grant
-from .limits import RowLimits
+from .limits import WorkspaceLimits
 from .memory import PermitMemory
 from .settings import PoolSettings
 from .tiers import Tiers
 from .upstream import Upstream, UpstreamInfo
 
 
-class Roster:
-    """Upstreams, permits in use, row limits and learned lengths."""
+class ServiceState:
+    """Upstreams, permits in use, workspace limits and output lengths."""
 
     def __init__(self, cfg: PoolSettings) -> None:
         """Start without upstreams."""
         self.grants: dict[str, Grant] = {}
-        self.limits = RowLimits()
+        self.limits = WorkspaceLimits()
         self.lengths = OutputLengths()
         self.memory = PermitMemory(cfg.windows_kept)
         self._cfg = cfg
         self._ceiling = 1
         self._gap_s: float = 0
-        self._bottom = 0
+        self._lowest_rank = 0
         self._upstreams: dict[str, Upstream] = {}
 
     def configure(
@@ -43,9 +42,9 @@
         tiers: Tiers,
         now: float,
     ) -> None:
-        """Take the table's rows for this service."""
+        """Apply the table's rows for this service."""
         gap_s = tiers.gap_s
-        self._bottom = tiers.bottom
+        self._lowest_rank = tiers.lowest_rank
         self._ceiling = row.max_running
         self._gap_s = gap_s
         self.limits.configure(limits, now)
@@ -54,7 +53,7 @@
             upstream.limit.gap_s = gap_s
 
     def take_instances(self, infos: tuple[UpstreamInfo, ...]) -> None:
-        """Take the instance list; keep what is known of each upstream."""
+        """Apply the instance list; keep the state of listed upstreams."""
         found = {}
         for info in infos:
             known = self._upstreams.get(info.name)
@@ -66,7 +65,7 @@
         self._upstreams = found
 
     def get(self, name: str) -> Upstream | None:
-        """Return an upstream that is listed."""
+        """Return the listed upstream with this name."""
         return self._upstreams.get(name)
 
     def address_of(self, name: str) -> str:
@@ -74,12 +73,12 @@
         known = self._upstreams.get(name)
         return known.info.address if known else ''
 
-    def open_upstreams(self, now: float) -> list[Upstream]:
-        """Return the upstreams that may get new work at all."""
-        return [up for up in self._upstreams.values() if up.is_open(now)]
+    def available_upstreams(self, now: float) -> list[Upstream]:
+        """Return the upstreams that accept new requests."""
+        return [up for up in self._upstreams.values() if up.is_available(now)]
 
-    def best_cached(self, prefixes: tuple[str, ...]) -> int:
-        """Return the prompt tokens that some upstream has, at the most."""
+    def max_cached_tokens(self, prefixes: tuple[str, ...]) -> int:
+        """Return the length of the longest prefix cached by any upstream."""
         return max(
             (
                 up.cache.cached_tokens(prefixes)
@@ -89,71 +88,71 @@
         )
 
     def slots(self) -> int:
-        """Return the requests that may run at once on all upstreams."""
+        """Return the sum of the concurrency limits of all upstreams."""
         return sum(up.limit.slots for up in self._upstreams.values())
 
     def __len__(self) -> int:
         """Return the number of upstreams."""
         return len(self._upstreams)
 
-    def runs_below(self, rank: int) -> bool:
-        """Return whether any job of a lower tier is permitted."""
+    def has_lower_tier_running(self, rank: int) -> bool:
+        """Return whether any job of a lower tier has a permit."""
         return any(grant.job.rank > rank for grant in self.grants.values())
 
     # -- permits
 
     def record(self, grant: Grant) -> None:
-        """Take a permit into use."""
+        """Record an issued permit."""
         ask = grant.job.ask
         self.grants[ask.id] = grant
         self.memory.record(grant.job.rid, ask.holder, grant.upstream)
-        self.limits.started(ask.workspace)
+        self.limits.count_start(ask.workspace)
         upstream = self._upstreams.get(grant.upstream)
         if upstream is not None:
             upstream.running += 1
             upstream.sent_since_report += 1
-            upstream.cache.sent(ask.prefixes)
+            upstream.cache.record_prompt(ask.prefixes)
 
     def release(self, request_id: str) -> Grant | None:
-        """Take a permit out of use; the memory of it stays."""
+        """Release a permit; its record in the permit memory stays."""
         grant = self.grants.pop(request_id, None)
         if grant is None:
             return None
-        self.limits.ended(grant.job.ask.workspace)
+        self.limits.count_end(grant.job.ask.workspace)
         upstream = self._upstreams.get(grant.upstream)
         if upstream is not None:
             upstream.running = max(0, upstream.running - 1)
         return grant
 
     def release_homes(self, homes: Set[str]) -> None:
-        """Take all permits of these homes out of use."""
+        """Release all permits of these homes."""
         for request_id, grant in list(self.grants.items()):
             if grant.job.ask.holder in homes:
                 self.release(request_id)
 
-    def release_late(self, now: float) -> None:
-        """Take back permits whose homes said nothing past the deadline."""
+    def release_expired(self, now: float) -> None:
+        """Release permits not returned within a grace period."""
         for request_id, grant in list(self.grants.items()):
             if now > grant.job.deadline + self._cfg.grace_s:
                 self.release(request_id)
 
-    # -- learning
+    # -- estimates
 
-    def learn(self, grant: Grant, done: Done, now: float) -> None:
-        """Learn from a permit that came back."""
+    def update_estimates(self, grant: Grant, done: Done, now: float) -> None:
+        """Update the estimates from a returned permit."""
         upstream = self._upstreams.get(grant.upstream)
         if upstream is None:
             return
         if done.broken or not done.ran:
-            upstream.broken_until = now + self._cfg.broken_s
+            upstream.backoff_until = now + self._cfg.broken_s
         elif done.ok and grant.job.ask.prompt_tokens:
-            self._learn_model(grant, upstream, done)
+            self._add_stream(grant, upstream, done)
         elif done.ok:
-            upstream.speed.learn_plain(done.total_s)
+            upstream.speed.add_call(done.total_s)
             upstream.limit.on_call(done.total_s, upstream.running + 1, now)
 
     def progress(self, report: Progress, now: float) -> None:
-        """Learn from a home's report of an upstream's open streams."""
+        """Update the estimates from a report on open streams."""
         upstream = self._upstreams.get(report.upstream)
         if upstream is None or not report.streams:
             return
@@ -161,9 +160,9 @@
             upstream.limit.on_stall(upstream.running, now)
             return
         gap = report.elapsed_s * report.streams / report.tokens
-        upstream.speed.learn_gap(gap)
-        needed = self._needed_gap(report.upstream, gap)
-        upstream.limit.on_gap(gap, needed, upstream.running, now)
+        upstream.speed.add_token_gap(gap)
+        required = self._required_gap(report.upstream, gap)
+        upstream.limit.on_token_gap(gap, required, upstream.running, now)
 
     def load_report(
         self,
@@ -171,37 +170,38 @@
         requests: float,
         cache_tokens: int,
     ) -> None:
-        """Take an upstream's own report, which lags."""
+        """Record the load that an upstream reports, with some delay."""
         known = self._upstreams.get(name)
         if known is None:
             return
-        known.reported = requests
+        known.reported_requests = requests
         known.sent_since_report = 0
         if cache_tokens:
             known.cache.resize(cache_tokens)
 
-    def _needed_gap(self, upstream: str, usual: float) -> float:
-        # The lowest tier holds nobody off: a long draft would else keep the
-        # whole upstream to itself, and be stopped for it in the end.
+    def _required_gap(self, upstream: str, default_gap_s: float) -> float:
+        # The lowest tier counts only if no other tier runs: otherwise one
+        # long request would limit the upstream to itself, and finally be
+        # revoked to free its slot for a higher tier.
         running = [
             grant
             for grant in self.grants.values()
             if grant.upstream == upstream
         ]
-        higher = [one for one in running if one.job.rank < self._bottom]
+        higher = [one for one in running if one.job.rank < self._lowest_rank]
         return min(
-            (grant.needed_gap_s for grant in higher or running),
-            default=usual,
+            (grant.required_gap_s for grant in higher or running),
+            default=default_gap_s,
         )
 
-    def _learn_model(
+    def _add_stream(
         self,
         grant: Grant,
         upstream: Upstream,
         done: Done,
     ) -> None:
         ask = grant.job.ask
-        upstream.speed.learn_model(
+        upstream.speed.add_stream(
             done.first_s,
             done.total_s,
             done.prompt_tokens - done.cached_tokens,
@@ -212,4 +212,4 @@
             grant.expected_cached,
             done.cached_tokens,
         )
-        self.lengths.learn(ask.workspace, ask.max_tokens, done.output_tokens)
+        self.lengths.add(ask.workspace, ask.max_tokens, done.output_tokens)
--- a/packages/admission/src/tallyhall_admission/settings.py
+++ b/packages/admission/src/tallyhall_admission/settings.py
@@ -1,4 +1,4 @@
-"""Times of admission, in seconds."""
+"""Settings of admission control."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolSettings:
-    """Everything that admission can be tuned by.
+    """Settings of a pool; times are in seconds.
 
-    permit_s: how long a permit may lie unused. hold_s: how long no lower
-    tier starts after a higher one was shed. windows_kept: windows of each
-    home for which permits are remembered. broken_s: pause after a connect to
-    an upstream failed. grace_s: added to a deadline before a permit whose
-    home said nothing is taken back.
+    permit_s: time within which a permit must be used. hold_s: time for which
+    no lower tier starts after a higher one was shed. windows_kept: number of
+    windows per home for which permits are recorded. broken_s: backoff after
+    a connection to an upstream failed. grace_s: time after the deadline at
+    which a permit is released that its home has not returned.
     """
 
     permit_s: float = 1
--- a/packages/admission/src/tallyhall_admission/tiers.py
+++ b/packages/admission/src/tallyhall_admission/tiers.py
@@ -1,4 +1,4 @@
-"""The tiers as the owner needs them: ranks and targets."""
+"""Ranks and latency targets of the tiers."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     rows: tuple[TierRow, ...] = ()
 
     @property
-    def top(self) -> int:
-        """Return the highest tier's rank."""
+    def highest_rank(self) -> int:
+        """Return the rank of the highest tier."""
         return min((row.rank for row in self.rows), default=0)
 
     @property
-    def bottom(self) -> int:
-        """Return the lowest tier's rank."""
+    def lowest_rank(self) -> int:
+        """Return the rank of the lowest tier."""
         return max((row.rank for row in self.rows), default=0)
 
     @property
@@ -32,8 +32,8 @@
         return min(gaps, default=_DEFAULT_GAP_S)
 
     def rank_of(self, name: str) -> int:
-        """Return a tier's rank; an unknown one counts as the lowest."""
+        """Return the rank of a tier, the lowest rank if it is unknown."""
         for row in self.rows:
             if row.name == name:
                 return row.rank
-        return self.bottom
+        return self.lowest_rank
--- a/packages/admission/src/tallyhall_admission/upstream.py
+++ b/packages/admission/src/tallyhall_admission/upstream.py
@@ -1,19 +1,19 @@
-"""What the owner knows of one upstream."""
+"""State of one upstream at the owner of its service."""
 
 from __future__ import annotations
 
 import dataclasses
 
 from .concurrency import AdaptiveLimit
-from .estimate import Speed
+from .estimate import SpeedEstimate
 from .prefix import PrefixCache
 
-_CACHE_TOKENS = 65_536
+_DEFAULT_CACHE_TOKENS = 65_536
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamInfo:
-    """One upstream as the instance list shows it."""
+    """Entry of an upstream in the instance list."""
 
     name: str
     address: str
@@ -22,27 +22,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Upstream:
-    """State of one upstream at its owner.
+    """State of one upstream at the owner of its service.
 
-    reported: requests in the upstream's own last load report. broken_until:
-    no new work before this time, after a connect failed.
+    reported_requests: requests in the last load report of the upstream.
+    backoff_until: end of the backoff after a failed connection.
     """
 
     info: UpstreamInfo
     limit: AdaptiveLimit
-    speed: Speed = dataclasses.field(default_factory=Speed)
+    speed: SpeedEstimate = dataclasses.field(default_factory=SpeedEstimate)
     cache: PrefixCache = dataclasses.field(
-        default_factory=lambda: PrefixCache(_CACHE_TOKENS),
+        default_factory=lambda: PrefixCache(_DEFAULT_CACHE_TOKENS),
     )
     running: int = 0
-    reported: float = 0
+    reported_requests: float = 0
     sent_since_report: int = 0
-    broken_until: float = 0
+    backoff_until: float = 0
 
-    def is_open(self, now: float) -> bool:
-        """Return whether it may get new work at all."""
-        return not self.info.leaving and now >= self.broken_until
+    def is_available(self, now: float) -> bool:
+        """Return whether it accepts new requests."""
+        return not self.info.leaving and now >= self.backoff_until
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return the number of free slots."""
         return max(0, self.limit.slots - self.running)
--- a/tests/unit/admission.py
+++ b/tests/unit/admission.py
@@ -1,4 +1,4 @@
-"""Builders for admission tests."""
+"""Builders of pools, messages and tables for admission tests."""
 
 from tallyhall_admission.outgoing import Outgoing
 from tallyhall_admission.policy import make_policy
@@ -38,19 +38,19 @@
 
 
 def pool(upstreams: int = 1, slots: int = 4, **limits: float) -> Pool:
-    """Return a pool that is ready at time 0."""
-    made = Pool(SERVICE, make_policy('tallyhall'), PoolSettings())
-    made.configure(table(**limits), 0)
-    made.take_instances(
+    """Return a pool that issues permits from time 0."""
+    new_pool = Pool(SERVICE, make_policy('tallyhall'), PoolSettings())
+    new_pool.configure(table(**limits), 0)
+    new_pool.take_instances(
         tuple(
             UpstreamInfo(f'engine-{number}', f'127.0.0.1:{number + 1}')
             for number in range(upstreams)
         ),
     )
-    for upstream in made.roster.open_upstreams(0):
+    for upstream in new_pool.roster.available_upstreams(0):
         upstream.limit.limit = slots
-    made.ready = True
-    return made
+    new_pool.ready = True
+    return new_pool
 
 
 def ask(
@@ -61,7 +61,7 @@
     attempt: int = 0,
     prefixes: tuple[str, ...] = (),
 ) -> Ask:
-    """Return the ask of request `number`."""
+    """Return the permit request of request `number`."""
     rid = RequestId(HOME, 1, 0, True, f'{number:08x}')
     return Ask(
         id=str(rid),
@@ -79,7 +79,7 @@
 
 
 def done(request: Ask, upstream: str = 'engine-0', total_s: float = 2) -> Done:
-    """Return the end of a complete run."""
+    """Return the message that a request was completed."""
     return Done(
         request.id,
         SERVICE,
@@ -95,7 +95,7 @@
 
 
 def kinds(messages: list[Outgoing]) -> list[str]:
-    """Return the kinds of messages, in order."""
+    """Return the kinds of the messages, in order."""
     return [outgoing.message.kind for outgoing in messages]
 
 
--- a/tests/unit/test_admission_property.py
+++ b/tests/unit/test_admission_property.py
@@ -1,4 +1,4 @@
-"""Tier order, leaving and limits over any interleaving of a pool's events."""
+"""Pool invariants under random event sequences: tier order and limits."""
 
 import dataclasses
 from collections.abc import Callable
@@ -13,9 +13,9 @@
     rule,
     run_state_machine_as_test,
 )
-from tallyhall_admission.holds import Holds
 from tallyhall_admission.outgoing import Outgoing
-from tallyhall_admission.roster import Roster
+from tallyhall_admission.service_state import ServiceState
+from tallyhall_admission.tier_holds import TierHolds
 from tallyhall_admission.upstream import Upstream, UpstreamInfo
 from tallyhall_core.messages import Ask, AskRefused, Permit, Progress, Revoke
 from tallyhall_core.refusals import Reason
@@ -28,7 +28,7 @@
 _HOLD_S = 2.0
 _SHED = frozenset((Reason.shed, Reason.queue_full))
 _RUN = settings(max_examples=150, stateful_step_count=60)
-# Nothing has to be shrunk where a failure is what is wanted.
+# The test expects a failure, so examples are not shrunk.
 _SEARCH = settings(
     max_examples=400,
     stateful_step_count=60,
@@ -37,14 +37,14 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Asks, ends, losses, lists and time in any order, all answers checked.
+    """Sends random events to a pool and checks each message that it returns.
 
-    `running` is the truth at the homes: a request runs from its permit until
-    the home reports its end, whatever the pool believes.
+    `running` is the state at the homes: a request runs from its permit until
+    the home reports its end, regardless of the state of the pool.
     """
 
     def __init__(self) -> None:
-        """Start with three upstreams that are open."""
+        """Start with three available upstreams."""
         super().__init__()
         self.pool = build.pool(len(_UPSTREAMS), 2, concurrency=_CONCURRENCY)
         self.now: float = 0
@@ -61,41 +61,41 @@
         left_s=st.sampled_from((0.5, 3, 12)),
     )
     def ask(self, tier: str, workspace: str, left_s: float) -> None:
-        """Let a new request arrive."""
+        """Send a new request."""
         ask = build.ask(len(self.asks), tier, workspace, left_s)
         self.asks[ask.id] = ask
         self.deadlines[ask.id] = self.now + left_s
         self.waiting.add(ask.id)
-        self.take(self.pool.ask(ask, self.now))
+        self.check(self.pool.ask(ask, self.now))
 
     @rule(place=st.integers(0, 50), total_s=st.sampled_from((0.2, 2, 8)))
     def end(self, place: int, total_s: float) -> None:
-        """End a running request."""
+        """Complete a running request."""
         if self.running:
             rid = sorted(self.running)[place % len(self.running)]
             upstream = self.running.pop(rid)
             done = build.done(self.asks[rid], upstream, total_s)
-            self.take(self.pool.done(done, self.now))
+            self.check(self.pool.done(done, self.now))
 
     @rule(place=st.integers(0, 50))
     def repeat(self, place: int) -> None:
-        """Let an ask arrive once more, whatever became of it."""
+        """Send a duplicate of an unfinished request."""
         unfinished = sorted(self.waiting | self.running.keys())
         if unfinished:
             rid = unfinished[place % len(unfinished)]
-            self.take(self.pool.ask(self.asks[rid], self.now))
+            self.check(self.pool.ask(self.asks[rid], self.now))
 
     @rule(place=st.integers(0, 50))
     def withdraw(self, place: int) -> None:
-        """Let a home give up a waiting request."""
+        """Withdraw a waiting request."""
         if self.waiting:
             rid = sorted(self.waiting)[place % len(self.waiting)]
             self.waiting.discard(rid)
-            self.take(self.pool.withdraw(rid, self.now))
+            self.check(self.pool.withdraw(rid, self.now))
 
     @rule(leaving=st.sets(st.sampled_from(_UPSTREAMS), max_size=2))
     def change_list(self, leaving: set[str]) -> None:
-        """Let upstreams leave or come back."""
+        """Change which upstreams are leaving."""
         self.leaving = leaving
         infos = tuple(
             UpstreamInfo(name, f'{name}:1', leaving=name in leaving)
@@ -108,52 +108,52 @@
         tokens=st.sampled_from((0, 5, 100)),
     )
     def progress(self, upstream: str, tokens: int) -> None:
-        """Report tokens of open streams, none for a stall."""
+        """Report the tokens of open streams; 0 is a stall."""
         report = Progress(build.SERVICE, upstream, 2, tokens, 0.5)
-        self.take(self.pool.progress(report, self.now))
+        self.check(self.pool.progress(report, self.now))
 
     @rule(seconds=st.sampled_from((0.1, 0.6, 2.1, 6)))
     def tick(self, seconds: float) -> None:
-        """Let time pass; homes end what is past its deadline."""
+        """Advance the time; homes end requests past their deadline."""
         self.now += seconds
         for rid, upstream in list(self.running.items()):
             if self.deadlines[rid] <= self.now:
                 self.running.pop(rid)
                 done = build.done(self.asks[rid], upstream)
                 late = dataclasses.replace(done, ok=False)
-                self.take(self.pool.done(late, self.now))
-        self.take(self.pool.tick(self.now))
+                self.check(self.pool.done(late, self.now))
+        self.check(self.pool.tick(self.now))
 
     @invariant()
-    def nothing_is_lost(self) -> None:
-        """Every request is waiting, permitted or answered, and only one."""
+    def no_request_is_lost(self) -> None:
+        """Every request is in exactly one state: waiting, running or ended."""
         assert self.pool.counts().waiting == len(self.waiting)
         assert not self.waiting & self.running.keys()
 
     @invariant()
-    def rows_are_kept(self) -> None:
-        """No workspace runs more than its row allows."""
+    def concurrency_is_limited(self) -> None:
+        """No workspace exceeds its concurrency limit."""
         for workspace in _WORKSPACES:
-            used = [
+            running = [
                 rid
                 for rid in self.running
                 if self.asks[rid].workspace == workspace
             ]
-            assert len(used) <= _CONCURRENCY
+            assert len(running) <= _CONCURRENCY
 
-    def take(self, messages: list[Outgoing]) -> None:
-        """Check messages in the order in which homes get them."""
+    def check(self, messages: list[Outgoing]) -> None:
+        """Check messages in the order in which homes receive them."""
         for outgoing in messages:
             match outgoing.message:
                 case Permit() as permit:
-                    self.permitted(permit)
+                    self.check_permit(permit)
                 case AskRefused() as refused:
-                    self.refused(refused)
+                    self.check_refusal(refused)
                 case Revoke() as revoke:
                     assert revoke.id in self.running
 
-    def permitted(self, permit: Permit) -> None:
-        """Check a permit, new or repeated."""
+    def check_permit(self, permit: Permit) -> None:
+        """Check a permit, which may be a duplicate."""
         known = self.running.get(permit.id)
         if known is not None:
             assert known == permit.upstream
@@ -161,13 +161,13 @@
         assert permit.id in self.waiting
         assert permit.upstream not in self.leaving
         rank = self.rank(permit.id)
-        for above, at in self.shed_at.items():
-            assert rank <= above or self.now - at >= _HOLD_S
+        for shed_rank, at in self.shed_at.items():
+            assert rank <= shed_rank or self.now - at >= _HOLD_S
         self.waiting.remove(permit.id)
         self.running[permit.id] = permit.upstream
 
-    def refused(self, refused: AskRefused) -> None:
-        """Check a refusal: what runs has none, tiers keep their order."""
+    def check_refusal(self, refused: AskRefused) -> None:
+        """Check that no running request is refused and the tier order."""
         assert refused.id in self.waiting
         assert refused.retry_after_s > 0
         self.waiting.remove(refused.id)
@@ -176,8 +176,8 @@
         rank = self.rank(refused.id)
         lower = [rid for rid in self.running if self.rank(rid) > rank]
         assert not lower
-        held = self.shed_at.get(rank, -_HOLD_S)
-        if self.now - held >= _HOLD_S:
+        shed_at = self.shed_at.get(rank, -_HOLD_S)
+        if self.now - shed_at >= _HOLD_S:
             self.shed_at[rank] = self.now
 
     def rank(self, rid: str) -> int:
@@ -185,7 +185,7 @@
         return build.TIERS.index(self.asks[rid].tier)
 
 
-def test_pool_over_any_interleaving() -> None:
+def test_invariants_under_random_events() -> None:
     run_state_machine_as_test(PoolMachine, settings=_RUN)
 
 
@@ -198,19 +198,20 @@
 
 
 @pytest.mark.parametrize(
-    ('owner', 'name', 'broken'),
+    ('target', 'name', 'replacement'),
     [
-        (Roster, 'runs_below', _never),
-        (Holds, 'left', _never),
-        (Upstream, 'is_open', _always),
+        (ServiceState, 'has_lower_tier_running', _never),
+        (TierHolds, 'remaining_s', _never),
+        (Upstream, 'is_available', _always),
     ],
-    ids=['lower tiers not looked at', 'no hold', 'leaving not looked at'],
+    ids=['lower tiers ignored', 'no hold', 'leaving ignored'],
 )
 def test_each_rule_is_needed(
-    owner: type,
+    target: type,
     name: str,
-    broken: Callable[..., int],
+    replacement: Callable[..., int],
 ) -> None:
-    with mock.patch.object(owner, name, broken):
+    """The state machine fails if a rule of the pool is disabled."""
+    with mock.patch.object(target, name, replacement):
         with pytest.raises(AssertionError):
             run_state_machine_as_test(PoolMachine, settings=_SEARCH)
--- a/tests/unit/test_policies.py
+++ b/tests/unit/test_policies.py
@@ -1,4 +1,4 @@
-"""What callers get under load of what the decisions do, emulated by seeds."""
+"""Effect of scheduling mechanisms on callers, in seeded simulations."""
 
 from __future__ import annotations
 
@@ -12,40 +12,42 @@
 _WORKERS = 2
 
 
-def _without(scenario: str, mechanism: str) -> tuple[Compared, Compared]:
+def _run_without(scenario: str, mechanism: str) -> tuple[Compared, Compared]:
     path = pathlib.Path('scenarios/experiments') / f'{scenario}.toml'
-    found = run_experiment(
+    result = run_experiment(
         load_scenario(path),
         _SEEDS,
         (mechanism,),
         _WORKERS,
     )
-    return found.compared[0], found.compared[1]
+    return result.compared[0], result.compared[1]
 
 
 @pytest.mark.parametrize(
-    ('mechanism', 'least'),
+    ('mechanism', 'min_loss'),
     [('forecasts', 0.025), ('first_tries', 0.02), ('late_places', 0.01)],
 )
-def test_a_lasting_shortage_is_worse_without(
+def test_mechanism_improves_benefit_in_a_lasting_shortage(
     mechanism: str,
-    least: float,
+    min_loss: float,
 ) -> None:
-    """Benefit 0.697; without them lower by 0.052, 0.049 and 0.035.
+    """Each mechanism must improve the benefit while engines are missing.
 
-    Four of nine engines are gone, six seeds.
+    Four of nine engines are gone. With six seeds the benefit was 0.697, and
+    lower by 0.052, 0.049 and 0.035 without the mechanism.
     """
-    with_all, without = _without('shortage', mechanism)
+    with_all, without = _run_without('shortage', mechanism)
     assert with_all.figures['benefit'].mean > 0.65
-    assert without.gained['benefit'].mean < -least
+    assert without.gained['benefit'].mean < -min_loss
 
 
-def test_no_kind_is_starved_by_the_most_urgent() -> None:
-    """Urgencies take turns: the kind that is served worst gets 0.75 or more.
+def test_most_urgent_class_does_not_starve_other_kinds() -> None:
+    """Urgency classes share the slots instead of a strict priority order.
 
-    Strict order gives it 0.05 less.
+    The kind of request with the lowest benefit gets at least 0.75, and 0.05
+    less with strict priority.
     """
-    with_all, without = _without('heavy', 'served_shares')
+    with_all, without = _run_without('heavy', 'served_shares')
     assert with_all.figures['worst_kind'].mean > 0.7
     assert without.gained['worst_kind'].mean < 0
     assert with_all.figures['benefit'].mean > 0.85
--- a/tests/unit/test_pool.py
+++ b/tests/unit/test_pool.py
@@ -1,4 +1,4 @@
-"""Admission: limits, order, fairness, permits and their memory."""
+"""Admission: limits, tier order, fair sharing, permits and their records."""
 
 import dataclasses
 
@@ -11,15 +11,15 @@
 from tests.unit import admission as build
 
 
-def _teach(pool: Pool, seconds: float) -> None:
-    """Let the pool learn that a request takes this long."""
+def _train(pool: Pool, seconds: float) -> None:
+    """Complete requests so that the estimated run time is this long."""
     for number in range(900, 904):
         request = build.ask(number)
         pool.ask(request, 0)
         pool.done(build.done(request, total_s=seconds), 0)
 
 
-def test_no_more_than_the_slots() -> None:
+def test_permits_do_not_exceed_slots() -> None:
     pool = build.pool(slots=2)
     out = [
         message
@@ -31,7 +31,7 @@
     assert build.ids(out, 'permit') == [build.ask(2).id]
 
 
-def test_higher_tier_goes_first() -> None:
+def test_higher_tier_is_first() -> None:
     pool = build.pool(slots=1)
     pool.ask(build.ask(0, 'batch'), 0)
     for number, tier in enumerate(('batch', 'desk', 'audit'), 1):
@@ -53,11 +53,11 @@
     first = build.ids(out, 'permit')
     out = pool.done(build.done(build.ask(int(first[0][-8:], 16))), 1)
     granted = first + build.ids(out, 'permit')
-    # The one request of `kitchen` does not wait behind five of `foundry`.
+    # The request of `kitchen` does not wait for the five of `foundry`.
     assert build.ask(6).id in granted
 
 
-def test_repeated_ask_gets_the_same_permit() -> None:
+def test_duplicate_request_gets_the_same_permit() -> None:
     pool = build.pool(upstreams=2)
     first = pool.ask(build.ask(0), 0)
     again = pool.ask(build.ask(0), 0.5)
@@ -65,7 +65,7 @@
     assert pool.counts().running == 1
 
 
-def test_another_holder_never_gets_a_permit() -> None:
+def test_other_holder_of_a_permitted_id_is_refused() -> None:
     pool = build.pool()
     pool.ask(build.ask(0), 0)
     other = build.ask(0)
@@ -76,7 +76,7 @@
     ]
 
 
-def test_leaving_upstream_gets_nothing_new() -> None:
+def test_leaving_upstream_gets_no_requests() -> None:
     pool = build.pool(upstreams=2)
     pool.take_instances(
         (
@@ -93,7 +93,7 @@
     assert used == {'engine-1'}
 
 
-def test_rate_is_refused_with_a_time_to_come_back() -> None:
+def test_rate_limit_refuses_until_the_bucket_refills() -> None:
     pool = build.pool(slots=50, rate=2)
     out = [
         message
@@ -104,7 +104,7 @@
     assert build.kinds(pool.ask(build.ask(9), 0.6)) == ['permit']
 
 
-def test_concurrency_of_a_row_does_not_block_others() -> None:
+def test_concurrency_limit_does_not_block_other_workspaces() -> None:
     pool = build.pool(slots=50, concurrency=1)
     assert build.kinds(pool.ask(build.ask(0), 0)) == ['permit']
     assert not pool.ask(build.ask(1), 0)
@@ -114,19 +114,19 @@
     assert build.ids(out, 'permit') == [build.ask(1).id]
 
 
-def test_hopeless_deadline_is_refused_at_once() -> None:
+def test_unreachable_deadline_is_refused_immediately() -> None:
     pool = build.pool()
-    _teach(pool, 4)
+    _train(pool, 4)
     out = pool.ask(build.ask(0, left_s=1), 0)
     assert [getattr(one.message, 'reason', '') for one in out] == [
         Reason.deadline_unreachable,
     ]
 
 
-def test_lower_tier_is_stopped_for_a_higher_one() -> None:
+def test_lower_tier_is_revoked_for_a_higher_one() -> None:
     pool = build.pool(slots=2)
-    _teach(pool, 4)
-    pool.roster.open_upstreams(0)[0].limit.limit = 2
+    _train(pool, 4)
+    pool.roster.available_upstreams(0)[0].limit.limit = 2
     low = [build.ask(number, 'batch', left_s=20) for number in (0, 1)]
     for asked in low:
         pool.ask(asked, 0)
@@ -138,10 +138,10 @@
     assert build.ids(out, 'permit') == [build.ask(2).id]
 
 
-def test_top_tier_is_shed_only_when_no_lower_runs() -> None:
+def test_highest_tier_is_shed_only_if_no_lower_one_runs() -> None:
     pool = build.pool(slots=1)
-    _teach(pool, 4)
-    pool.roster.open_upstreams(0)[0].limit.limit = 1
+    _train(pool, 4)
+    pool.roster.available_upstreams(0)[0].limit.limit = 1
     pool.ask(build.ask(0, 'batch', left_s=20), 0)
     refused = []
     for number in range(1, 6):
@@ -155,7 +155,7 @@
     assert build.kinds(late) == ['refused']
 
 
-def test_a_repeated_return_does_not_free_the_next_attempt() -> None:
+def test_duplicate_done_does_not_release_the_next_attempt() -> None:
     pool = build.pool(upstreams=2)
     pool.ask(build.ask(0), 0)
     unsent = dataclasses.replace(build.done(build.ask(0)), ran=False, ok=False)
@@ -165,7 +165,7 @@
     assert pool.counts().running == 1
 
 
-def test_a_new_owner_holds_lower_tiers_back_but_refuses_none() -> None:
+def test_new_owner_holds_lower_tiers_without_refusing_them() -> None:
     pool = build.pool()
     pool.inherit_promises(0)
     assert build.kinds(pool.ask(build.ask(0, 'audit'), 0.1)) == ['permit']
@@ -173,7 +173,7 @@
     assert build.ids(pool.tick(2.1), 'permit') == [build.ask(1).id]
 
 
-def test_a_late_ask_of_an_earlier_attempt_frees_nothing() -> None:
+def test_delayed_request_of_an_earlier_attempt_is_ignored() -> None:
     pool = build.pool(upstreams=2)
     pool.ask(build.ask(0), 0)
     pool.ask(build.ask(0, attempt=1), 0.1)
@@ -183,10 +183,10 @@
     assert not pool.counts().running
 
 
-def test_a_lost_revocation_is_repeated() -> None:
+def test_revocation_without_effect_is_repeated() -> None:
     pool = build.pool(slots=1)
-    _teach(pool, 4)
-    pool.roster.open_upstreams(0)[0].limit.limit = 1
+    _train(pool, 4)
+    pool.roster.available_upstreams(0)[0].limit.limit = 1
     pool.ask(build.ask(0, 'batch', left_s=20), 0)
     out = pool.ask(build.ask(1, 'audit', left_s=4.5), 0)
     assert build.kinds(out) == ['revoke']
@@ -194,10 +194,10 @@
     assert build.ids(pool.tick(0.6), 'revoke') == [build.ask(0).id]
 
 
-def test_nothing_but_the_lowest_tier_is_shed_while_a_home_is_silent() -> None:
+def test_only_the_lowest_tier_is_shed_while_a_home_has_not_reported() -> None:
     pool = build.pool(slots=1)
-    _teach(pool, 4)
-    pool.roster.open_upstreams(0)[0].limit.limit = 1
+    _train(pool, 4)
+    pool.roster.available_upstreams(0)[0].limit.limit = 1
     pool.ask(build.ask(0, 'audit', left_s=20), 0)
     pool.set_blind(blind=True)
     assert not pool.ask(build.ask(1, 'desk', left_s=6), 0)
@@ -208,25 +208,25 @@
     assert build.kinds(out) == ['refused']
 
 
-def _warm(pool: Pool) -> str:
-    """Let one upstream get a prefix and be full; return its name."""
+def _fill_with_prefix(pool: Pool) -> str:
+    """Fill an upstream by a request with a prefix; return its name."""
     shared = build.ask(0, prefixes=('weekly', 'draft'))
     out = pool.ask(shared, 0)
     return str(getattr(out[0].message, 'upstream', ''))
 
 
-def test_a_job_waits_for_the_upstream_that_has_its_prefix() -> None:
+def test_job_waits_for_an_upstream_with_its_prefix() -> None:
     pool = build.pool(upstreams=2, slots=1)
-    warm = _warm(pool)
+    warm = _fill_with_prefix(pool)
     again = build.ask(1, prefixes=('weekly', 'draft'))
     assert not pool.ask(again, 0.1)
     out = pool.done(build.done(build.ask(0), upstream=warm), 0.2)
     assert [getattr(one.message, 'upstream', '') for one in out] == [warm]
 
 
-def test_it_does_not_wait_for_long() -> None:
+def test_wait_for_a_cached_prefix_is_limited() -> None:
     pool = build.pool(upstreams=2, slots=1)
-    warm = _warm(pool)
+    warm = _fill_with_prefix(pool)
     pool.ask(build.ask(1, prefixes=('weekly', 'draft'), left_s=10), 0.1)
     assert not pool.tick(1.5)
     out = pool.tick(1.7)
@@ -234,9 +234,9 @@
     assert getattr(out[0].message, 'upstream', '') != warm
 
 
-def test_others_go_past_a_job_that_waits_for_its_prefix() -> None:
+def test_job_that_waits_for_its_prefix_does_not_block_others() -> None:
     pool = build.pool(upstreams=2, slots=1)
-    _warm(pool)
+    _fill_with_prefix(pool)
     pool.ask(build.ask(1, prefixes=('weekly', 'draft')), 0.1)
     out = pool.ask(build.ask(2), 0.2)
     assert build.ids(out, 'permit') == [build.ask(2).id]
@@ -245,9 +245,9 @@
 @pytest.mark.parametrize(
     ('tier', 'slots'),
     [('batch', 4), ('desk', 2)],
-    ids=['a lower tier holds nobody off', 'its own tier does'],
+    ids=['lowest tier does not count', 'higher tier counts'],
 )
-def test_the_tightest_stream_but_of_the_lowest_tier_sets_the_limit(
+def test_tightest_stream_above_the_lowest_tier_sets_the_limit(
     tier: str,
     slots: int,
 ) -> None:
@@ -258,7 +258,7 @@
     assert pool.counts().slots == slots
 
 
-def test_jobs_with_warm_prefixes_do_not_go_past_one_for_ever() -> None:
+def test_jobs_with_cached_prefixes_do_not_starve_others() -> None:
     pool = build.pool(upstreams=1, slots=1)
     warm = ('weekly', 'draft')
     pool.ask(build.ask(0, prefixes=warm), 0)
