--- a/packages/sources/src/tallyhall_sources/__init__.py
+++ b/packages/sources/src/tallyhall_sources/__init__.py
@@ -1,5 +1,5 @@
 """Clients of the platform: key-value service, instance list, weight store.
 
-Each stands behind a `Protocol`, since the users' own may differ from the
-published interfaces spoken here.
+Each implements a `Protocol`, so that it can be replaced by a client of a
+platform that does not use these published interfaces.
 """
--- a/packages/sources/src/tallyhall_sources/errors.py
+++ b/packages/sources/src/tallyhall_sources/errors.py
@@ -1,19 +1,19 @@
-"""Errors of the platform layer; urllib3's never leave it."""
+"""Errors of the platform clients; urllib3 errors are converted to these."""
 
 from __future__ import annotations
 
 
 class PlatformError(Exception):
-    """The platform did not answer, or answered with nonsense."""
+    """The platform did not respond or sent an invalid response."""
 
 
 class UnavailableError(PlatformError):
-    """No answer in time; a write may or may not have taken effect."""
+    """No response; a write may or may not have taken effect."""
 
 
 class RateLimitedError(PlatformError):
-    """The platform refused the call for its rate; nothing was done."""
+    """The platform rejected the call by its rate limit, without effect."""
 
 
-class BadAnswerError(PlatformError):
-    """The answer does not have the published form."""
+class InvalidResponseError(PlatformError):
+    """The response does not conform to the published interface."""
--- a/packages/sources/src/tallyhall_sources/http.py
+++ b/packages/sources/src/tallyhall_sources/http.py
@@ -1,4 +1,4 @@
-"""One JSON call over urllib3, with its errors turned into the platform's."""
+"""JSON calls over urllib3 that raise the errors of `errors`."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 import urllib3
 
-from .errors import BadAnswerError, RateLimitedError, UnavailableError
+from .errors import InvalidResponseError, RateLimitedError, UnavailableError
 
 _OK = 200
 _TOO_MANY = 429
 _FIRST_SERVER_ERROR = 500
 
 
-class JsonCaller:
-    """Calls to one base address; each waits at most `timeout_s`."""
+class JsonClient:
+    """Sends JSON requests to one base URL with a timeout."""
 
     def __init__(self, base: str, timeout_s: float) -> None:
-        """Keep connections alive between calls."""
+        """Create a connection pool for this base URL."""
         self._base = base.rstrip('/')
         self._pool = urllib3.PoolManager(
             retries=False,
@@ -32,7 +32,7 @@
         path: str,
         body: dict[str, Any] | None = None,
     ) -> dict[str, Any]:
-        """Return the JSON answer; raise a PlatformError."""
+        """Return the JSON object of the response; raise PlatformError."""
         try:
             resp = self._pool.request(
                 method,
@@ -46,9 +46,13 @@
         try:
             answer = json.loads(resp.data)
         except ValueError as exc:
-            raise BadAnswerError(f'{self._base}{path}: no JSON') from exc
+            raise InvalidResponseError(
+                f'{self._base}{path}: response is not JSON'
+            ) from exc
         if not isinstance(answer, dict):
-            raise BadAnswerError(f'{self._base}{path}: no JSON object')
+            raise InvalidResponseError(
+                f'{self._base}{path}: response is not a JSON object'
+            )
         return answer
 
     def stream(
@@ -57,7 +61,7 @@
         body: dict[str, Any],
         read_s: float,
     ) -> urllib3.BaseHTTPResponse:
-        """Return an open answer whose reads wait at most `read_s`."""
+        """Return a streamed response with this read timeout."""
         try:
             resp = self._pool.request(
                 'POST',
@@ -76,8 +80,8 @@
 
 def _check_status(status: int) -> None:
     if status == _TOO_MANY:
-        raise RateLimitedError('too many calls')
+        raise RateLimitedError('status 429: too many requests')
     if status >= _FIRST_SERVER_ERROR:
         raise UnavailableError(f'status {status}')
     if status != _OK:
-        raise BadAnswerError(f'status {status}')
+        raise InvalidResponseError(f'status {status}')
--- a/packages/sources/src/tallyhall_sources/instance_list.py
+++ b/packages/sources/src/tallyhall_sources/instance_list.py
@@ -1,7 +1,7 @@
-"""The platform's instance list, spoken as EndpointSlice JSON.
+"""Client of the platform's instance list (EndpointSlice JSON).
 
-The list lags behind the truth and is only a hint: what it shows as serving
-may be dead, what it lacks may be alive.
+The list is eventually consistent: a listed endpoint may be dead, and a live
+endpoint may be missing.
 """
 
 from __future__ import annotations
@@ -9,8 +9,8 @@
 import dataclasses
 from typing import Any, Protocol
 
-from .errors import BadAnswerError
-from .http import JsonCaller
+from .errors import InvalidResponseError
+from .http import JsonClient
 
 _PATH = '/apis/discovery.k8s.io/v1/endpointslices'
 _SERVICE_LABEL = 'kubernetes.io/service-name'
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One endpoint of a service; leaving ones take no new work."""
+    """Endpoint of a service; a leaving one gets no new requests."""
 
     service: str
     name: str
@@ -28,44 +28,48 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointList:
-    """All endpoints at one revision of the list."""
+    """All endpoints at a revision of the list."""
 
     revision: int
     endpoints: tuple[Endpoint, ...]
 
 
 class InstanceLister(Protocol):
-    """What the product needs of an instance list."""
+    """Interface of an instance list."""
 
     def fetch(self) -> EndpointList:
-        """Return the present list; raise a PlatformError."""
+        """Return the current list; raise PlatformError."""
 
 
 class EndpointSliceLister:
-    """An InstanceLister over EndpointSlice JSON."""
+    """InstanceLister for the EndpointSlice API."""
 
     def __init__(self, base: str, timeout_s: float) -> None:
-        """Speak to the list at this base address."""
-        self._http = JsonCaller(base, timeout_s)
+        """Use the API at this base URL."""
+        self._http = JsonClient(base, timeout_s)
 
     def fetch(self) -> EndpointList:
-        """Return the present list; raise a PlatformError."""
+        """Return the current list; raise PlatformError."""
         answer = self._http.call('GET', _PATH)
         try:
             return _parse(answer)
         except (LookupError, TypeError, ValueError) as exc:
-            raise BadAnswerError('endpoint slices of a wrong form') from exc
+            raise InvalidResponseError('invalid EndpointSlice list') from exc
 
 
 def _parse(answer: dict[str, Any]) -> EndpointList:
-    found = []
-    for piece in answer['items']:
-        service = piece['metadata']['labels'][_SERVICE_LABEL]
-        port = int(piece['ports'][0]['port']) if piece.get('ports') else 0
-        for endpoint in piece['endpoints']:
-            found.append(_endpoint(service, port, endpoint))
+    endpoints = []
+    for endpoint_slice in answer['items']:
+        service = endpoint_slice['metadata']['labels'][_SERVICE_LABEL]
+        port = (
+            int(endpoint_slice['ports'][0]['port'])
+            if endpoint_slice.get('ports')
+            else 0
+        )
+        for endpoint in endpoint_slice['endpoints']:
+            endpoints.append(_endpoint(service, port, endpoint))
     revision = int(answer['metadata']['resourceVersion'])
-    return EndpointList(revision, tuple(found))
+    return EndpointList(revision, tuple(endpoints))
 
 
 def _endpoint(service: str, port: int, endpoint: dict[str, Any]) -> Endpoint:
--- a/packages/sources/src/tallyhall_sources/kv.py
+++ b/packages/sources/src/tallyhall_sources/kv.py
@@ -1,6 +1,6 @@
-"""The key-value service, spoken as the etcd v3 JSON interface.
+"""Client of the key-value service (etcd v3 JSON API).
 
-Keys and values are base64 in that interface; revisions are decimal texts.
+The API encodes keys and values in base64 and revisions as decimal strings.
 """
 
 from __future__ import annotations
@@ -11,52 +11,52 @@
 
 import urllib3
 
-from .errors import BadAnswerError
-from .http import JsonCaller
+from .errors import InvalidResponseError
+from .http import JsonClient
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Versioned:
-    """A value with the revision of its last change; 0 where it is absent."""
+class VersionedValue:
+    """Value and revision of its last change; 0 if the key is absent."""
 
     content: bytes
     mod_revision: int
 
 
 class KeyValue(Protocol):
-    """What the product needs of a key-value service."""
+    """Interface of a key-value service."""
 
-    def get(self, key: str) -> Versioned:
-        """Return the value; raise a PlatformError."""
+    def get(self, key: str) -> VersionedValue:
+        """Return the value of a key; raise PlatformError."""
 
     def swap(self, key: str, seen: int, content: bytes) -> bool:
-        """Write if the value's revision is still `seen`; 0 means absent.
+        """Write if the revision of the key is `seen`, where 0 means absent.
 
-        Returns whether it was written. UnavailableError leaves that open.
+        Returns whether it was written. After UnavailableError this is unknown.
         """
 
     def wait_change(self, prefix: str, after: int, wait_s: float) -> bool:
-        """Wait for a change below the prefix; return whether one came."""
+        """Wait for a change under a prefix; return whether there was one."""
 
     def grant_lease(self, ttl_s: int) -> str:
-        """Return the id of a new lease."""
+        """Create a lease and return its id."""
 
     def swap_leased(self, key: str, content: bytes, lease: str) -> bool:
-        """Create the key under a lease if it is absent."""
+        """Create a key with a lease if it is absent; return if created."""
 
     def keep_lease(self, lease: str) -> bool:
-        """Renew a lease; return whether it still stood."""
+        """Renew a lease; return False if it has expired."""
 
 
 class EtcdKeyValue:
-    """A KeyValue over the etcd v3 JSON interface."""
+    """KeyValue for the etcd v3 JSON API."""
 
     def __init__(self, base: str, timeout_s: float) -> None:
-        """Speak to the service at this base address."""
-        self._http = JsonCaller(base, timeout_s)
+        """Use the API at this base URL."""
+        self._http = JsonClient(base, timeout_s)
 
-    def get(self, key: str) -> Versioned:
-        """Return the value; raise a PlatformError."""
+    def get(self, key: str) -> VersionedValue:
+        """Return the value of a key; raise PlatformError."""
         answer = self._http.call(
             'POST',
             '/v3/kv/range',
@@ -64,19 +64,19 @@
         )
         found = answer.get('kvs') or []
         if not found:
-            return Versioned(b'', 0)
-        return _versioned(found[0])
+            return VersionedValue(b'', 0)
+        return _decode_entry(found[0])
 
     def swap(self, key: str, seen: int, content: bytes) -> bool:
-        """Write if the value's revision is still `seen`."""
+        """Write if the revision of the key is `seen`."""
         return self._swap(key, seen, {'value': _encode(content)})
 
     def swap_leased(self, key: str, content: bytes, lease: str) -> bool:
-        """Create the key under a lease if it is absent."""
+        """Create a key with a lease if it is absent; return if created."""
         return self._swap(key, 0, {'value': _encode(content), 'lease': lease})
 
     def wait_change(self, prefix: str, after: int, wait_s: float) -> bool:
-        """Wait for a change below the prefix; return whether one came."""
+        """Wait for a change under a prefix; return whether there was one."""
         raw = prefix.encode()
         end = raw[:-1] + bytes([raw[-1] + 1])
         request = {
@@ -94,22 +94,24 @@
         except urllib3.exceptions.ReadTimeoutError:
             return False
         except urllib3.exceptions.HTTPError as exc:
-            raise BadAnswerError(f'watch: {exc}') from exc
+            raise InvalidResponseError(f'watch: {exc}') from exc
         finally:
             resp.close()
 
     def grant_lease(self, ttl_s: int) -> str:
-        """Return the id of a new lease."""
+        """Create a lease and return its id."""
         answer = self._http.call('POST', '/v3/lease/grant', {'TTL': ttl_s})
         return _field(answer, 'ID')
 
     def keep_lease(self, lease: str) -> bool:
-        """Renew a lease; return whether it still stood."""
+        """Renew a lease; return False if it has expired."""
         answer = self._http.call('POST', '/v3/lease/keepalive', {'ID': lease})
-        kept = answer.get('result')
-        if not isinstance(kept, dict):
-            raise BadAnswerError('lease answer without a result')
-        return int(kept.get('TTL', 0)) > 0
+        renewed = answer.get('result')
+        if not isinstance(renewed, dict):
+            raise InvalidResponseError(
+                'lease keepalive response without a result'
+            )
+        return int(renewed.get('TTL', 0)) > 0
 
     def _swap(self, key: str, seen: int, put: dict[str, str]) -> bool:
         name = _encode(key.encode())
@@ -132,7 +134,7 @@
 
 
 def _has_events(resp: urllib3.BaseHTTPResponse) -> bool:
-    # The first line says that the watch stands; later ones carry events.
+    # The first line confirms that the watch was created; events follow.
     pending = b''
     for part in resp.stream(amt=None):
         pending += part
@@ -148,15 +150,15 @@
 
 def _field(answer: dict[str, Any], name: str) -> str:
     if name not in answer:
-        raise BadAnswerError(f'answer without {name}')
+        raise InvalidResponseError(f'response without the field {name}')
     return str(answer[name])
 
 
-def _versioned(entry: dict[str, Any]) -> Versioned:
+def _decode_entry(entry: dict[str, Any]) -> VersionedValue:
     try:
-        return Versioned(
+        return VersionedValue(
             base64.b64decode(entry.get('value', '')),
             int(_field(entry, 'mod_revision')),
         )
     except ValueError as exc:
-        raise BadAnswerError('range answer of a wrong form') from exc
+        raise InvalidResponseError('invalid range response') from exc
--- a/packages/sources/src/tallyhall_sources/stored.py
+++ b/packages/sources/src/tallyhall_sources/stored.py
@@ -1,8 +1,9 @@
-"""Values kept in the KV that are changed by compare-and-swap.
+"""Values in the KV that are updated by compare-and-swap.
 
-A change is a function from the newest text to the next one. A lost race, or
-an answer lost on the way, is settled by reading again and applying the
-change again: every change used here does nothing where it already stands.
+An update is a function from the current text to the new text. After a
+conflict or a lost response, the value is read and the function applied again.
+The functions must therefore be idempotent: applied to a text that contains the
+update already, they return it unchanged.
 """
 
 from __future__ import annotations
@@ -10,26 +11,26 @@
 import gzip
 from collections.abc import Callable
 
-from .errors import BadAnswerError, PlatformError, UnavailableError
+from .errors import InvalidResponseError, PlatformError, UnavailableError
 from .kv import KeyValue
 
 TABLE_KEY = '/tallyhall/table'
 ASSIGNMENT_KEY = '/tallyhall/assignment'
 PREFIX = '/tallyhall/'
 MAX_BYTES = 1_000_000
-_TRIES = 6
+_MAX_ATTEMPTS = 6
 
 
-class TooLargeError(PlatformError):
-    """The value would not fit the key-value service."""
+class ValueTooLargeError(PlatformError):
+    """The value exceeds the size limit of the key-value service."""
 
 
 def read_text(kv: KeyValue, key: str) -> tuple[str, int]:
-    """Return the text kept under a key and its KV revision."""
+    """Return the text of a key and its KV revision."""
     found = kv.get(key)
     if not found.mod_revision:
         return ('', 0)
-    return (_unpack(found.content), found.mod_revision)
+    return (_decompress(found.content), found.mod_revision)
 
 
 def change_text(
@@ -37,41 +38,46 @@
     key: str,
     change: Callable[[str], str],
 ) -> str:
-    """Apply a change to the newest text until it stands; return the text.
+    """Update the text of a key by a function; return the new text.
 
-    Raises UnavailableError when it is not known to stand after some tries.
+    Raises UnavailableError if it is still unknown after several attempts
+    whether the update was written.
     """
-    lost: UnavailableError | None = None
-    for _ in range(_TRIES):
+    last_error: UnavailableError | None = None
+    for _ in range(_MAX_ATTEMPTS):
         try:
             text, seen = read_text(kv, key)
         except UnavailableError as exc:
-            lost = exc
+            last_error = exc
             break
-        wanted = change(text)
-        if wanted == text:
+        updated = change(text)
+        if updated == text:
             return text
-        packed = _pack(wanted)
+        compressed = _compress(updated)
         try:
-            written = kv.swap(key, seen, packed)
+            written = kv.swap(key, seen, compressed)
         except UnavailableError as exc:
-            # The write may stand: the next read tells.
-            lost = exc
+            # The write may have succeeded: the next read shows it.
+            last_error = exc
             continue
         if written:
-            return wanted
-    raise UnavailableError(f'{key}: not settled') from lost
+            return updated
+    raise UnavailableError(f'{key}: update not confirmed') from last_error
 
 
-def _pack(text: str) -> bytes:
-    packed = gzip.compress(text.encode(), mtime=0)
-    if len(packed) > MAX_BYTES:
-        raise TooLargeError(f'{len(packed)} bytes, at most {MAX_BYTES}')
-    return packed
+def _compress(text: str) -> bytes:
+    compressed = gzip.compress(text.encode(), mtime=0)
+    if len(compressed) > MAX_BYTES:
+        raise ValueTooLargeError(
+            f'value of {len(compressed)} bytes exceeds {MAX_BYTES}'
+        )
+    return compressed
 
 
-def _unpack(packed: bytes) -> str:
+def _decompress(compressed: bytes) -> str:
     try:
-        return gzip.decompress(packed).decode()
+        return gzip.decompress(compressed).decode()
     except (OSError, EOFError, UnicodeDecodeError) as exc:
-        raise BadAnswerError('a value of a wrong form') from exc
+        raise InvalidResponseError(
+            'value is not gzip-compressed UTF-8 text'
+        ) from exc
--- a/packages/sources/src/tallyhall_sources/weights.py
+++ b/packages/sources/src/tallyhall_sources/weights.py
@@ -1,6 +1,6 @@
-"""The weight store: plain HTTP GET with a rate limit.
+"""Client of the weight store, an HTTP server with a rate limit.
 
-Only metadata is read here (HEAD): whether a model's weights exist and their
+Reads only metadata (HEAD): whether the weights of a model exist and their
 size, before an engine is ordered to load them.
 """
 
@@ -20,36 +20,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Weights:
-    """Size of a model's weights in bytes; 0 where there are none."""
+    """Size of a model's weights in bytes; 0 if they do not exist."""
 
     model: str
     size: int
 
 
 class WeightStore(Protocol):
-    """What the product needs of a weight store."""
+    """Interface of a weight store."""
 
     def stat(self, model: str) -> Weights:
-        """Return what is known of a model's weights."""
+        """Return the metadata of a model's weights."""
 
 
 class HttpWeightStore:
-    """A WeightStore over plain HTTP."""
+    """WeightStore for a plain HTTP server."""
 
     def __init__(self, base: str, timeout_s: float) -> None:
-        """Speak to the store at this base address."""
+        """Use the store at this base URL."""
         self._base = base.rstrip('/')
         self._pool = urllib3.PoolManager(retries=False, timeout=timeout_s)
 
     def stat(self, model: str) -> Weights:
-        """Return what is known of a model's weights."""
+        """Return the metadata of a model's weights."""
         try:
             resp = self._pool.request('HEAD', f'{self._base}/{model}')
         except urllib3.exceptions.HTTPError as exc:
             raise UnavailableError(f'{self._base}: {exc}') from exc
         if resp.status == _TOO_MANY:
             wait = resp.headers.get('retry-after', '1')
-            raise RateLimitedError(f'come back in {wait} s')
+            raise RateLimitedError(f'retry after {wait} s')
         if resp.status == _NOT_FOUND:
             return Weights(model, 0)
         if resp.status != _OK:
--- a/tests/unit/test_table.py
+++ b/tests/unit/test_table.py
@@ -1,4 +1,4 @@
-"""The table: checks, operators in a race, lost answers, only upwards."""
+"""Table validation, concurrent edits, lost responses and revisions."""
 
 import pytest
 from hypothesis import given, settings
@@ -28,7 +28,7 @@
     return rows_of(store.read(), 'tiers').get(name)
 
 
-def test_two_operators_on_different_rows_both_stand() -> None:
+def test_concurrent_edits_of_different_rows_are_both_applied() -> None:
     kv = FakeKv()
     store = TableStore(kv)
     kv.before_write.append(lambda: _assert(_set(store, _tier('b', 1), None)))
@@ -37,7 +37,7 @@
     assert store.read().revision == 2
 
 
-def test_two_operators_on_one_row_the_second_hears_of_it() -> None:
+def test_concurrent_edit_of_the_same_row_is_a_conflict() -> None:
     kv = FakeKv()
     store = TableStore(kv)
     kv.before_write.append(
@@ -53,16 +53,16 @@
 
 
 @pytest.mark.parametrize('lost', [1, 3])
-def test_lost_answers_do_not_double_a_change(lost: int) -> None:
+def test_change_is_applied_once_if_responses_are_lost(lost: int) -> None:
     kv = FakeKv()
-    kv.lose_answers = lost
+    kv.lose_responses = lost
     store = TableStore(kv)
     assert _set(store, _tier('a', 0), None)
     assert store.read().revision == 1
     assert len(store.read().history) == 1
 
 
-def test_down_is_reported_not_guessed() -> None:
+def test_read_raises_while_the_kv_is_down() -> None:
     kv = FakeKv()
     kv.is_down = True
     with pytest.raises(PlatformError):
@@ -84,13 +84,13 @@
 def test_accepted_changes_never_revert(
     steps: list[tuple[int, str, int, bool]],
 ) -> None:
-    """Operators who read earlier or later, with answers lost now and then."""
+    """Two operators with outdated or current tables; responses get lost."""
     kv = FakeKv()
     store = TableStore(kv)
     model: dict[str, TierRow] = {}
     read: list[dict[str, Row]] = [{}, {}]
     for operator, name, deadline, lose in steps:
-        kv.lose_answers = int(lose)
+        kv.lose_responses = int(lose)
         row = _tier(name, 'ab'.index(name), deadline)
         if _set(store, row, read[operator].get(name)):
             model[name] = row
@@ -101,7 +101,7 @@
 
 
 @given(revisions=st.lists(st.integers(1, 20), max_size=20))
-def test_only_a_higher_revision_is_taken(revisions: list[int]) -> None:
+def test_only_higher_revisions_are_accepted(revisions: list[int]) -> None:
     shared = SharedValues()
     highest = 0
     for revision in revisions:
@@ -114,9 +114,9 @@
 @pytest.mark.parametrize(
     ('revision', 'now', 'asked'),
     [(2, 0.1, False), (2, 0.4, True), (3, 0.1, True)],
-    ids=['asked already', 'no answer', 'a newer one'],
+    ids=['already requested', 'no response', 'newer revision'],
 )
-def test_a_value_is_asked_for_once(
+def test_value_is_requested_once(
     revision: int,
     now: float,
     asked: bool,
@@ -136,7 +136,7 @@
         ({'nmae': 'a'}, 'Extra inputs'),
     ],
 )
-def test_a_bad_row_names_key_and_value(
+def test_error_of_an_invalid_row_states_field_and_value(
     change: dict[str, object],
     message: str,
 ) -> None:
@@ -145,12 +145,12 @@
         parse_row('tiers', fields)
 
 
-def test_a_limit_needs_its_service_and_tiers() -> None:
-    good = build.table().model_dump()
-    good['services'] = []
+def test_limit_of_an_unknown_service_is_rejected() -> None:
+    fields = build.table().model_dump()
+    fields['services'] = []
     with pytest.raises(ValueError, match='no service'):
-        Table.model_validate(good)
+        Table.model_validate(fields)
 
 
-def _assert(truth: bool) -> None:
-    assert truth
+def _assert(condition: bool) -> None:
+    assert condition
