--- a/packages/table/src/tallyhall_table/__init__.py
+++ b/packages/table/src/tallyhall_table/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' table: its rows, its checks and its edits."""
+"""Operator-managed table of tiers, services and workspace limits."""
--- a/packages/table/src/tallyhall_table/edits.py
+++ b/packages/table/src/tallyhall_table/edits.py
@@ -1,8 +1,9 @@
-"""Edits of single rows, rebased on whatever table is newest.
+"""Edits of single rows, applied to the newest table.
 
-An edit remembers the row as its operator read it. Two operators who change
-different rows both get their way; for the same row the second is told of the
-conflict with both rows and nothing of that edit is applied.
+An edit contains the row as its operator read it. Concurrent edits of different
+rows are both applied. For concurrent edits of the same row, the second
+operator gets a conflict with both rows, and none of that operator's edits is
+applied.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowEdit:
-    """Replace, add (no `before`) or remove (no `after`) one row."""
+    """Replaces, adds (no `before`) or removes (no `after`) a row."""
 
     section: Section
     key: str
@@ -57,10 +58,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Author:
-    """Who makes a change and when (text of a wall clock, for people)."""
+class ChangeInfo:
+    """Author, id and wall clock time (for display) of a change."""
 
-    name: str
+    author: str
     at: str
     change_id: str
 
@@ -75,12 +76,12 @@
 
 
 def rows_of(table: Table, section: Section) -> dict[str, Row]:
-    """Return the rows of one section by key, in order."""
+    """Return the rows of a section by key, in table order."""
     rows: tuple[Row, ...] = getattr(table, section)
     return {row_key(row): row for row in rows}
 
 
-def edits_between(old: Table, new: Table) -> tuple[RowEdit, ...]:
+def diff_tables(old: Table, new: Table) -> tuple[RowEdit, ...]:
     """Return the row edits that turn `old` into `new`."""
     edits = []
     for section in SECTIONS:
@@ -93,15 +94,15 @@
     return tuple(edits)
 
 
-def rebase(
+def apply_edits(
     newest: Table,
     edits: tuple[RowEdit, ...],
-    author: Author,
+    info: ChangeInfo,
 ) -> Result[Table, Conflict]:
     """Return the table with all edits applied, or the first conflict.
 
-    Raises TableError where the rows conflict with each other, such as a limit
-    whose service another operator has just removed.
+    Raises TableError if the resulting table is inconsistent, for example if a
+    limit refers to a service that another operator has removed.
     """
     sections = {name: rows_of(newest, name) for name in SECTIONS}
     for edit in edits:
@@ -111,9 +112,9 @@
             return Error(
                 Conflict(
                     f'{edit.section}/{edit.key}',
-                    _text(edit.before),
-                    _text(current),
-                    _text(edit.after),
+                    _row_json(edit.before),
+                    _row_json(current),
+                    _row_json(edit.after),
                 ),
             )
         if edit.after is None:
@@ -122,46 +123,46 @@
             rows[edit.key] = edit.after
     change = Change(
         revision=newest.revision + 1,
-        change_id=author.change_id,
-        author=author.name,
-        at=author.at,
+        change_id=info.change_id,
+        author=info.author,
+        at=info.at,
         summary=', '.join(map(str, edits))[:_SUMMARY_CHARS],
     )
     rebuilt = {name: list(rows.values()) for name, rows in sections.items()}
     history = (*newest.history, change)[-HISTORY_KEPT:]
-    return Ok(_build(change.revision, rebuilt, history))
+    return Ok(_build_table(change.revision, rebuilt, history))
 
 
 def parse_row(section: Section, fields: dict[str, object]) -> Row:
-    """Check one row given as fields; raise TableError."""
+    """Validate the fields of a row; raise TableError."""
     try:
         return _ROW_TYPES[section].model_validate(fields)
     except pydantic.ValidationError as exc:
-        raise TableError(describe(exc)) from exc
+        raise TableError(format_errors(exc)) from exc
 
 
 def parse_table(text: str) -> Table:
-    """Read a whole table from JSON; raise TableError."""
+    """Parse and validate a table in JSON; raise TableError."""
     try:
         return Table.model_validate_json(text)
     except pydantic.ValidationError as exc:
-        raise TableError(describe(exc)) from exc
+        raise TableError(format_errors(exc)) from exc
 
 
-def describe(exc: pydantic.ValidationError) -> str:
-    """Return each fault of a model as `where: what, got value`."""
+def format_errors(exc: pydantic.ValidationError) -> str:
+    """Return the validation errors as `location: message, got value`."""
     lines = []
-    for fault in exc.errors():
-        where = '.'.join(str(part) for part in fault['loc']) or 'table'
-        lines.append(f'{where}: {fault["msg"]}, got {fault["input"]!r:.80}')
+    for error in exc.errors():
+        location = '.'.join(str(part) for part in error['loc']) or 'table'
+        lines.append(f'{location}: {error["msg"]}, got {error["input"]!r:.80}')
     return '; '.join(lines)
 
 
-def _text(row: Row | None) -> str:
+def _row_json(row: Row | None) -> str:
     return row.model_dump_json() if row else ''
 
 
-def _build(
+def _build_table(
     revision: int,
     sections: dict[Section, list[Row]],
     history: tuple[Change, ...],
@@ -171,4 +172,4 @@
             {'revision': revision, 'history': history, **sections},
         )
     except pydantic.ValidationError as exc:
-        raise TableError(describe(exc)) from exc
+        raise TableError(format_errors(exc)) from exc
--- a/packages/table/src/tallyhall_table/errors.py
+++ b/packages/table/src/tallyhall_table/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the table layer."""
+"""Errors of the table package."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class TableError(ValueError):
-    """A text that is no valid table; the message says what is wrong."""
+    """Invalid table or row; the message lists the errors."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another operator changed the same row first.
+    """Another operator has changed the same row.
 
-    Texts are the JSON of the row: as the operator read it, as it now stands,
-    and as the operator wants it; empty where there is no such row.
+    read, current, wanted: JSON of the row as the operator read it, as it is
+    now and as the operator wants it; empty if there is no row.
     """
 
     key: str
@@ -23,7 +23,7 @@
     wanted: str
 
     def __str__(self) -> str:
-        """Return one line for an operator."""
+        """Return the message for the operator."""
         return (
             f'{self.key} was changed by another operator: '
             f'you read {self.read or "no row"}, '
--- a/packages/table/src/tallyhall_table/model.py
+++ b/packages/table/src/tallyhall_table/model.py
@@ -1,7 +1,7 @@
-"""Rows of the table, checked by pydantic, and the table that holds them.
+"""Pydantic models of the table and its rows.
 
-The table is one value in the KV. All rows are frozen: an edit makes a new
-table. Rates are per second over the whole fleet; None means no limit.
+The table is stored as one value in the KV. Rows are immutable: an edit creates
+a new table. Rates are per second for the whole fleet; None means no limit.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 
 class Row(pydantic.BaseModel):
-    """What all rows have in common: frozen, no unknown keys."""
+    """Base class of rows: immutable, unknown fields are rejected."""
 
     model_config = pydantic.ConfigDict(frozen=True, extra='forbid')
 
 
 class TierRow(Row):
-    """One tier; rank 0 is the highest and is shed last.
+    """A tier; rank 0 is the highest and is shed last.
 
-    deadline_s: the whole answer is due within this unless a request asks
-    for less. gap_s: the longest acceptable time between two tokens.
+    deadline_s: default and longest time to the complete response; a request
+    can specify a shorter one. gap_s: maximum time between two tokens.
     """
 
     name: Name
@@ -46,10 +46,10 @@
 
 
 class ServiceRow(Row):
-    """One service; its upstreams come from the platform's instance list.
+    """A service; its upstreams come from the platform's instance list.
 
-    checks_fencing: whether its engines refuse an order with an old fencing
-    number. max_running: the most requests at once on one upstream.
+    checks_fencing: whether its engines reject orders with an outdated fencing
+    token. max_running: maximum concurrent requests per upstream.
     """
 
     name: Name
@@ -61,7 +61,7 @@
 
 
 class LimitRow(Row):
-    """Weight and limits of one workspace at one service."""
+    """Weight and limits of a workspace at a service."""
 
     workspace: Name
     service: Name
@@ -73,7 +73,7 @@
 
 
 class Change(Row):
-    """One entry of the history."""
+    """Entry of the change history."""
 
     revision: int
     change_id: str
@@ -83,7 +83,7 @@
 
 
 class Table(Row):
-    """One revision of the whole table."""
+    """A revision of the table."""
 
     revision: int = 0
     tiers: tuple[TierRow, ...] = ()
@@ -93,7 +93,7 @@
 
     @pydantic.model_validator(mode='after')
     def check_references(self) -> Table:
-        """Check that names are unique and that limits name known rows."""
+        """Check that names are unique and that limits refer to rows."""
         _check_unique('tiers', [row.name for row in self.tiers])
         _check_unique('tier ranks', [str(row.rank) for row in self.tiers])
         _check_unique('services', [row.name for row in self.services])
@@ -110,23 +110,23 @@
         return self
 
     def tier(self, name: str) -> TierRow | None:
-        """Return the tier of this name."""
+        """Return the tier with this name."""
         return next((row for row in self.tiers if row.name == name), None)
 
     def service(self, name: str) -> ServiceRow | None:
-        """Return the service of this name."""
+        """Return the service with this name."""
         return next((row for row in self.services if row.name == name), None)
 
     def limit(self, workspace: str, service: str) -> LimitRow | None:
-        """Return the row of this workspace at this service."""
-        return self._rows.get((workspace, service))
+        """Return the limits of a workspace at a service."""
+        return self._limits_by_key.get((workspace, service))
 
     def has_workspace(self, workspace: str) -> bool:
-        """Return whether any row names the workspace."""
+        """Return whether a limit row refers to the workspace."""
         return workspace in self._workspaces
 
     @functools.cached_property
-    def _rows(self) -> dict[tuple[str, str], LimitRow]:
+    def _limits_by_key(self) -> dict[tuple[str, str], LimitRow]:
         return {(row.workspace, row.service): row for row in self.limits}
 
     @functools.cached_property
@@ -134,8 +134,8 @@
         return frozenset(row.workspace for row in self.limits)
 
 
-def _check_unique(what: str, names: list[str]) -> None:
+def _check_unique(kind: str, names: list[str]) -> None:
     counts = collections.Counter(names)
     repeated = sorted(name for name, count in counts.items() if count > 1)
     if repeated:
-        raise ValueError(f'{what} are not unique: {repeated}')
+        raise ValueError(f'{kind} are not unique: {repeated}')
--- a/packages/table/src/tallyhall_table/store.py
+++ b/packages/table/src/tallyhall_table/store.py
@@ -1,4 +1,4 @@
-"""The table in the KV: read, change by compare-and-swap, settle doubts."""
+"""Reads the table from the KV and changes it by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from tallyhall_sources.kv import KeyValue
 from tallyhall_sources.stored import TABLE_KEY, change_text, read_text
 
-from .edits import Author, RowEdit, edits_between, parse_table, rebase
+from .edits import ChangeInfo, RowEdit, apply_edits, diff_tables, parse_table
 from .errors import Conflict
 from .model import Table
 
 
-class _ConflictFound(Exception):
+class _ConflictError(Exception):
     def __init__(self, conflict: Conflict) -> None:
         super().__init__(str(conflict))
         self.conflict = conflict
 
 
 class TableStore:
-    """The operators' way to the table; raises PlatformError, TableError."""
+    """Access to the table; methods raise PlatformError and TableError."""
 
     def __init__(self, kv: KeyValue) -> None:
         """Use this key-value service."""
         self._kv = kv
 
     def read(self) -> Table:
-        """Return the table as it stands, an empty one if there is none."""
+        """Return the current table, an empty one if there is none."""
         text, _ = read_text(self._kv, TABLE_KEY)
         return parse_table(text) if text else Table()
 
@@ -39,25 +39,27 @@
     ) -> Result[Table, Conflict]:
         """Apply row edits to the newest table, or return the conflict.
 
-        A lost answer is settled by looking for this change's id in the
-        history, so a change is made once.
+        If a response is lost, the change id is looked up in the history, so
+        that a change is applied once.
         """
         now = datetime.datetime.now(datetime.UTC)
-        stamp = Author(author, now.isoformat('T', 'seconds'), uuid.uuid4().hex)
+        info = ChangeInfo(
+            author, now.isoformat('T', 'seconds'), uuid.uuid4().hex
+        )
 
-        def next_text(text: str) -> str:  # noqa: WPS430
+        def update(text: str) -> str:  # noqa: WPS430
             newest = parse_table(text) if text else Table()
-            made = {change.change_id for change in newest.history}
-            if stamp.change_id in made:
+            applied = {change.change_id for change in newest.history}
+            if info.change_id in applied:
                 return text
-            outcome = rebase(newest, edits, stamp)
+            outcome = apply_edits(newest, edits, info)
             if outcome.is_error():
-                raise _ConflictFound(outcome.error)
+                raise _ConflictError(outcome.error)
             return outcome.ok.model_dump_json()
 
         try:
-            text = change_text(self._kv, TABLE_KEY, next_text)
-        except _ConflictFound as exc:
+            text = change_text(self._kv, TABLE_KEY, update)
+        except _ConflictError as exc:
             return Error(exc.conflict)
         return Ok(parse_table(text))
 
@@ -67,8 +69,8 @@
         read: Table,
         author: str,
     ) -> Result[Table, Conflict]:
-        """Make the changes that lead from the table as read to `wanted`."""
-        edits = edits_between(read, wanted)
+        """Apply the differences between the table as read and `wanted`."""
+        edits = diff_tables(read, wanted)
         if not edits:
             return Ok(self.read())
         return self.change(edits, author)
--- a/tests/processes/test_table.py
+++ b/tests/processes/test_table.py
@@ -1,4 +1,4 @@
-"""A change of the table is in force everywhere and never reverts."""
+"""Table changes reach all instances and are never lost."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -15,7 +15,7 @@
 
 pytestmark = pytest.mark.processes
 
-_PATIENCE_S = 40.0
+_TIMEOUT_S = 40.0
 _KEY = 'foundry/ledger'
 
 
@@ -42,21 +42,21 @@
 
 
 def _wait(condition: Callable[[], bool]) -> None:
-    until = time.monotonic() + _PATIENCE_S
+    deadline = time.monotonic() + _TIMEOUT_S
     while not condition():
-        assert time.monotonic() < until
+        assert time.monotonic() < deadline
         time.sleep(0.1)
 
 
-def test_in_force_everywhere(fleet: Fleet) -> None:
+def test_change_reaches_all_instances(fleet: Fleet) -> None:
     revision = _set_weight(fleet, 2)
     _wait(lambda: _revisions(fleet) == {revision})
 
 
-def test_kv_down_right_after_and_a_restart_in_the_outage(
+def test_change_propagates_during_a_kv_outage_and_after_a_restart(
     fleet: Fleet,
 ) -> None:
-    """Whoever has the change passes it on; a new instance gets it too."""
+    """Instances with the change pass it on, also to a restarted one."""
     revision = _set_weight(fleet, 3)
     _wait(lambda: revision in _revisions(fleet))
     fleet.faults('kv', down=True)
@@ -68,7 +68,7 @@
     _wait(lambda: _revisions(fleet) == {revision})
 
 
-def test_lost_answers_and_a_race(fleet: Fleet) -> None:
+def test_change_with_lost_responses_and_a_kv_outage(fleet: Fleet) -> None:
     fleet.faults('kv', lose_every=2)
     revision = _set_weight(fleet, 4)
     fleet.faults('kv', lose_every=0)
--- a/tests/processes/test_tier_order.py
+++ b/tests/processes/test_tier_order.py
@@ -1,4 +1,4 @@
-"""No tier is shed while a lower one runs, under three times the load."""
+"""No tier is shed while a lower one runs, at three times the capacity."""
 
 import signal
 import time
@@ -16,12 +16,12 @@
 pytestmark = pytest.mark.processes
 
 _REQUESTS = 540
-_OVER_S = 6.0
+_BURST_S = 6.0
 
 
 @pytest.fixture(scope='module')
 def fleet() -> Iterator[Fleet]:
-    """Start three instances before today's upstreams."""
+    """Start three instances with the usual upstreams."""
     spec = FleetSpec(
         3,
         usual_upstreams(),
@@ -33,11 +33,13 @@
 
 
 @pytest.mark.parametrize('fault', ['none', 'slow engine', 'frozen owner'])
-def test_no_higher_tier_is_shed_first(fleet: Fleet, fault: str) -> None:
+def test_higher_tier_is_not_shed_before_lower_ones(
+    fleet: Fleet, fault: str
+) -> None:
     plan = mixed_burst(
         len(fault),
         _REQUESTS,
-        _OVER_S,
+        _BURST_S,
         drafts=10,
         patience=0.4,
     )
@@ -45,12 +47,12 @@
     name = str(state['owners']['ledger']).partition('.')[0]
     owner = fleet.instances[name].process
     with loaded(fleet, plan) as done:
-        time.sleep(_OVER_S / 3)
+        time.sleep(_BURST_S / 3)
         if fault == 'slow engine':
             fleet.faults('engine-1', slow=5)
         if fault == 'frozen owner':
             owner.send_signal(signal.SIGSTOP)
-            time.sleep(_OVER_S / 2)
+            time.sleep(_BURST_S / 2)
             owner.send_signal(signal.SIGCONT)
     fleet.faults('engine-1', slow=1)
     assert not violations(fleet, done, plan)
