--- a/packages/admission/src/tallyhall_admission/estimate.py
+++ b/packages/admission/src/tallyhall_admission/estimate.py
@@ -33,7 +33,7 @@
 
 
 class OutputLengths:
-    """Predicts output lengths by workspace."""
+    """Predicts output lengths by workspace and class of `max_tokens`."""
 
     def __init__(self) -> None:
         """Start without samples."""
--- a/packages/admission/src/tallyhall_admission/policy.py
+++ b/packages/admission/src/tallyhall_admission/policy.py
@@ -51,7 +51,7 @@
     queues_requests = False
 
     def __init__(self) -> None:
-        """Start with the first upstream."""
+        """Start a new cycle."""
         self._turn = 0
 
     def choose(
--- a/packages/admission/src/tallyhall_admission/pool.py
+++ b/packages/admission/src/tallyhall_admission/pool.py
@@ -280,6 +280,7 @@
         usable: list[Upstream],
         now: float,
     ) -> Grant | None:
+        """Grant on an upstream with the prefix, or on any after the wait."""
         grant = self._grant(job, warm, now)
         if grant is None and now >= job.prefix_wait_until:
             # Otherwise jobs with cached prefixes could starve this one.
--- a/tests/unit/test_admission_property.py
+++ b/tests/unit/test_admission_property.py
@@ -68,28 +68,28 @@
         self.waiting.add(ask.id)
         self.check(self.pool.ask(ask, self.now))
 
-    @rule(place=st.integers(0, 50), total_s=st.sampled_from((0.2, 2, 8)))
-    def end(self, place: int, total_s: float) -> None:
+    @rule(index=st.integers(0, 50), total_s=st.sampled_from((0.2, 2, 8)))
+    def end(self, index: int, total_s: float) -> None:
         """Complete a running request."""
         if self.running:
-            rid = sorted(self.running)[place % len(self.running)]
+            rid = sorted(self.running)[index % len(self.running)]
             upstream = self.running.pop(rid)
             done = build.done(self.asks[rid], upstream, total_s)
             self.check(self.pool.done(done, self.now))
 
-    @rule(place=st.integers(0, 50))
-    def repeat(self, place: int) -> None:
+    @rule(index=st.integers(0, 50))
+    def repeat(self, index: int) -> None:
         """Send a duplicate of an unfinished request."""
         unfinished = sorted(self.waiting | self.running.keys())
         if unfinished:
-            rid = unfinished[place % len(unfinished)]
+            rid = unfinished[index % len(unfinished)]
             self.check(self.pool.ask(self.asks[rid], self.now))
 
-    @rule(place=st.integers(0, 50))
-    def withdraw(self, place: int) -> None:
+    @rule(index=st.integers(0, 50))
+    def withdraw(self, index: int) -> None:
         """Withdraw a waiting request."""
         if self.waiting:
-            rid = sorted(self.waiting)[place % len(self.waiting)]
+            rid = sorted(self.waiting)[index % len(self.waiting)]
             self.waiting.discard(rid)
             self.check(self.pool.withdraw(rid, self.now))
 
