--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -71,7 +71,7 @@
 
 @contextlib.asynccontextmanager
 async def _stopping(stopped: list[Instance]) -> AsyncIterator[None]:
-    """Stop instances 50 ms apart; run the body once all lost their peers."""
+    """Stop instances 50 ms apart; run the body past the loss detection."""
     stops = []
     for instance in stopped:
         stops.append(asyncio.create_task(instance.stop()))
