--- a/packages/bench/src/tallyhall_bench/platform_load.py
+++ b/packages/bench/src/tallyhall_bench/platform_load.py
@@ -14,8 +14,8 @@
 
 from tallyhall_dispatch.options import Listening
 from tallyhall_edge.client import ClientConnection
-from tallyhall_edge.errors import BrokenError, EdgeError
-from tallyhall_edge.messages import ResponseHead, find, head_bytes
+from tallyhall_edge.errors import ConnectionFailedError, EdgeError
+from tallyhall_edge.messages import ResponseHead, find_header, encode_head
 
 KEY = 'key-1'
 SITE = 'shop.example'
@@ -40,7 +40,9 @@
 class _Sink:
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.done: asyncio.Future[BrokenError | None] = loop.create_future()
+        self.done: asyncio.Future[ConnectionFailedError | None] = (
+            loop.create_future()
+        )
         self.head: ResponseHead | None = None
         self.parts: list[bytes] = []
 
@@ -50,7 +52,7 @@
     def on_data(self, payload: bytes) -> None:
         self.parts.append(payload)
 
-    def on_end(self, exc: BrokenError | None) -> None:
+    def on_end(self, exc: ConnectionFailedError | None) -> None:
         if not self.done.done():
             self.done.set_result(exc)
 
@@ -88,12 +90,12 @@
         except EdgeError as exc:
             error = exc
         except TimeoutError:
-            error = BrokenError('no end of the answer')
+            error = ConnectionFailedError('no end of the answer')
         kept = self._conns.pop(place, None)
         if kept is not None and kept.reusable:
             self._conns[place] = kept
         head = sink.head or ResponseHead(0, b'', ())
-        signature = find(head.headers, b'x-tallyhall-response-signature')
+        signature = find_header(head.headers, b'x-tallyhall-response-signature')
         return Tried(
             request_id,
             route,
@@ -147,4 +149,4 @@
     if streams:
         headers.append((b'X-Tallyhall-Token-Counts', b'400,30'))
     line = f'POST /{route}/x HTTP/1.1'.encode()
-    return b''.join((head_bytes(line, tuple(headers)), body))
+    return b''.join((encode_head(line, tuple(headers)), body))
--- a/packages/edge/src/tallyhall_edge/caller_connection.py
+++ b/packages/edge/src/tallyhall_edge/caller_connection.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from .exchange import Exchange, RequestHandler
-from .messages import RequestHead, find
+from .messages import RequestHead, find_header
 
 # Pipelined requests that may be queued before reading is paused.
 _MAX_PIPELINED = 8
@@ -39,14 +39,14 @@
 class ServerLimits(msgspec.Struct, frozen=True):
     """Limits of one connection, in bytes and seconds.
 
-    body_s: maximum time between the head of a request and its last byte.
+    body_timeout_s: maximum time from the head of a request to its last byte.
     """
 
-    header_bytes: int = 16_384
-    body_bytes: int = 4_194_304
-    header_s: float = 3
-    body_s: float = 10
-    idle_s: float = 15
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 4_194_304
+    header_timeout_s: float = 3
+    body_timeout_s: float = 10
+    idle_timeout_s: float = 15
 
 
 class ConnectionOwner(Protocol):
@@ -61,11 +61,11 @@
         """Return whether connections close after their current request."""
 
     @property
-    def respond(self) -> RequestHandler:
+    def handle_request(self) -> RequestHandler:
         """Return the handler of requests."""
 
     @property
-    def failed(self) -> Callable[[Exception], None]:
+    def on_error(self) -> Callable[[Exception], None]:
         """Return the handler of unexpected exceptions."""
 
     def add(self, conn: ServerConnection) -> bool:
@@ -153,7 +153,7 @@
         self._began_at = self._loop.time()
         if self._current is None:
             self._start_timer(
-                self._server.limits.header_s, self._on_read_timeout
+                self._server.limits.header_timeout_s, self._on_read_timeout
             )
 
     def on_url(self, url: bytes) -> None:
@@ -169,9 +169,11 @@
     def on_headers_complete(self) -> None:
         """Start the timeout of the body; handle `Expect: 100-continue`."""
         if self._current is None:
-            self._start_timer(self._server.limits.body_s, self._on_read_timeout)
+            self._start_timer(
+                self._server.limits.body_timeout_s, self._on_read_timeout
+            )
         headers = tuple(self._headers)
-        expectation = find(headers, b'expect')
+        expectation = find_header(headers, b'expect')
         if expectation is not None and expectation.lower() == b'100-continue':
             self._continue_pending = True
             self._send_continue()
@@ -179,7 +181,7 @@
     def on_body(self, body: bytes) -> None:
         """Append to the body and check its size."""
         self._body_bytes += len(body)
-        if self._body_bytes > self._server.limits.body_bytes:
+        if self._body_bytes > self._server.limits.max_body_bytes:
             self._reject(*_TOO_LARGE)
             return
         self._body.append(body)
@@ -208,9 +210,9 @@
         if self._transport is not None:
             self._transport.write(payload)
 
-    def failed(self, exc: Exception) -> None:
+    def on_error(self, exc: Exception) -> None:
         """Report an unexpected exception."""
-        self._server.failed(exc)
+        self._server.on_error(exc)
 
     def can_keep_alive(self) -> bool:
         """Return whether the connection may be kept for another request."""
@@ -269,11 +271,11 @@
 
     async def _run(self, exchange: Exchange) -> None:
         try:
-            await self._server.respond(exchange)
+            await self._server.handle_request(exchange)
         except asyncio.CancelledError:
             raise
         except Exception as exc:  # noqa: BLE001
-            self.failed(exc)
+            self.on_error(exc)
             if not exchange.ended:
                 exchange.abort()
         if not exchange.ended:
@@ -296,7 +298,7 @@
 
     def _add_head_bytes(self, size: int) -> None:
         self._head_bytes += size
-        if self._head_bytes > self._server.limits.header_bytes:
+        if self._head_bytes > self._server.limits.max_header_bytes:
             self._reject(*_HEAD_TOO_LARGE)
 
     def _reject(self, status: int, reason: bytes) -> None:
@@ -318,7 +320,7 @@
         # A stopping server still handles requests that callers have sent or are
         # sending on open connections; `Connection: close` in the answer then
         # tells them to reconnect elsewhere.
-        self._start_timer(self._server.limits.idle_s, self.close)
+        self._start_timer(self._server.limits.idle_timeout_s, self.close)
 
     def _start_timer(self, delay: float, action: Callable[[], None]) -> None:
         self._stop_timer()
--- a/packages/edge/src/tallyhall_edge/client.py
+++ b/packages/edge/src/tallyhall_edge/client.py
@@ -16,12 +16,12 @@
 import httptools
 
 from .errors import (
-    BadMessageError,
-    BrokenError,
+    ConnectionFailedError,
     ConnectionLostError,
+    InvalidResponseError,
     NotSentError,
 )
-from .messages import Headers, ResponseHead, find
+from .messages import Headers, ResponseHead, find_header
 
 # Milliseconds without acknowledgement after which a peer counts as dead.
 _USER_TIMEOUT_MS = 3000
@@ -45,7 +45,7 @@
     def on_data(self, payload: bytes) -> None:
         """Handle a part of the body."""
 
-    def on_end(self, exc: BrokenError | None) -> None:
+    def on_end(self, exc: ConnectionFailedError | None) -> None:
         """Handle the end: `exc` is None if the response is complete."""
 
 
@@ -56,7 +56,7 @@
         """Expect echoed request ids in this lower-case header."""
         self.reusable = False
         self.idle_since: float = 0
-        self.keep_s: float | None = None
+        self.keep_alive_s: float | None = None
         self._id_header = id_header
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
@@ -125,7 +125,7 @@
             # A reset tells the upstream at once that nobody reads its response.
             self._transport.abort()
 
-    def fail(self, exc: BrokenError) -> None:
+    def fail(self, exc: ConnectionFailedError) -> None:
         """Abort the connection; the current response ends with this error."""
         self._tainted = True
         self._end(exc)
@@ -172,7 +172,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             self._tainted = True
-            self._end(BadMessageError(f'malformed response: {exc!r}'))
+            self._end(InvalidResponseError(f'malformed response: {exc!r}'))
             self.close()
 
     # -- parser
@@ -241,7 +241,7 @@
             return False
         return not transport.get_write_buffer_size()
 
-    def _end(self, exc: BrokenError | None) -> None:
+    def _end(self, exc: ConnectionFailedError | None) -> None:
         sink = self._sink
         self._sink = None
         self._in_body = False
@@ -249,24 +249,24 @@
             sink.on_end(exc)
 
     def _answers_other_request(self, headers: Headers) -> bool:
-        echoed = find(headers, self._id_header)
+        echoed = find_header(headers, self._id_header)
         if not self._expected_id or echoed is None:
             return False
         return echoed != self._expected_id
 
     def _read_keep_alive(self, headers: Headers) -> None:
-        self.keep_s = None
-        keep_alive = find(headers, b'keep-alive')
+        self.keep_alive_s = None
+        keep_alive = find_header(headers, b'keep-alive')
         if keep_alive is None:
             return
         for part in keep_alive.split(b','):
             name, _, text = part.strip().partition(b'=')
             if name.lower() == b'timeout' and text.isdigit():
-                self.keep_s = int(text)
+                self.keep_alive_s = int(text)
 
 
 def _is_framed(head: ResponseHead) -> bool:
-    if find(head.headers, b'content-length') is not None:
+    if find_header(head.headers, b'content-length') is not None:
         return True
-    coding = find(head.headers, b'transfer-encoding')
+    coding = find_header(head.headers, b'transfer-encoding')
     return coding is not None and b'chunked' in coding.lower()
--- a/packages/edge/src/tallyhall_edge/connections.py
+++ b/packages/edge/src/tallyhall_edge/connections.py
@@ -37,13 +37,15 @@
         self._busy: dict[str, set[ClientConnection]] = {}
         self._loop = asyncio.get_running_loop()
 
-    async def take(self, upstream: Upstream, idle_s: float) -> ClientConnection:
-        """Return a connection idle for at most `idle_s`, or a new one.
+    async def acquire(
+        self, upstream: Upstream, max_idle_s: float
+    ) -> ClientConnection:
+        """Return a connection idle for at most `max_idle_s`, or a new one.
 
         Raises NotSentError if no connection can be opened.
         """
         incarnation = upstream.incarnation
-        conn = self._pop_idle(incarnation, idle_s)
+        conn = self._pop_idle(incarnation, max_idle_s)
         if conn is None:
             conn = await ClientConnection.open(
                 upstream.host,
@@ -54,7 +56,7 @@
         self._busy.setdefault(incarnation, set()).add(conn)
         return conn
 
-    def give_back(self, upstream: Upstream, conn: ClientConnection) -> None:
+    def release(self, upstream: Upstream, conn: ClientConnection) -> None:
         """Keep a connection if it is reusable, else close it."""
         incarnation = upstream.incarnation
         busy = self._busy.get(incarnation, set())
@@ -70,18 +72,18 @@
         if len(kept) > _MAX_IDLE_CONNECTIONS:
             kept.popleft().close()
 
-    def drop(self, incarnation: str) -> None:
+    def close_idle(self, incarnation: str) -> None:
         """Close the idle connections to one that takes no new requests."""
         for conn in self._idle.pop(incarnation, ()):
             conn.close()
 
-    def end(self, incarnation: str) -> None:
+    def fail_all(self, incarnation: str) -> None:
         """Fail the requests in flight to an incarnation that has ended."""
-        self.drop(incarnation)
+        self.close_idle(incarnation)
         for conn in tuple(self._busy.get(incarnation, ())):
             conn.fail(ConnectionLostError('the upstream has restarted'))
 
-    def close_old(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that have been idle for too long to be reused."""
         for incarnation, kept in tuple(self._idle.items()):
             while kept and not self._is_usable(kept[0], _DEFAULT_KEEP_S):
@@ -92,20 +94,20 @@
     def _pop_idle(
         self,
         incarnation: str,
-        idle_s: float,
+        max_idle_s: float,
     ) -> ClientConnection | None:
         kept = self._idle.get(incarnation)
         while kept:
             conn = kept.pop()
-            if self._is_usable(conn, idle_s):
+            if self._is_usable(conn, max_idle_s):
                 return conn
             conn.close()
         return None
 
-    def _is_usable(self, conn: ClientConnection, idle_s: float) -> bool:
+    def _is_usable(self, conn: ClientConnection, max_idle_s: float) -> bool:
         if not conn.reusable or not conn.is_open:
             return False
         keep_s = _DEFAULT_KEEP_S
-        if conn.keep_s is not None:
-            keep_s = conn.keep_s * _KEEP_FRACTION
-        return self._loop.time() - conn.idle_since < min(keep_s, idle_s)
+        if conn.keep_alive_s is not None:
+            keep_s = conn.keep_alive_s * _KEEP_FRACTION
+        return self._loop.time() - conn.idle_since < min(keep_s, max_idle_s)
--- a/packages/edge/src/tallyhall_edge/dialect.py
+++ b/packages/edge/src/tallyhall_edge/dialect.py
@@ -1,7 +1,7 @@
 """Interface between request handling and the headers on the wire.
 
 Header names and the format of refusals differ between interfaces; the steps
-of handling a request do not. Each interface implements `Dialect`.
+of handling a request do not. Each interface implements `HeaderCodec`.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from .messages import Headers, RequestHead, ResponseHead
 
 
-class BadCallError(Exception):
+class InvalidHeaderError(Exception):
     """A header of a request has no valid value."""
 
 
-class CallInfo(msgspec.Struct, frozen=True):
+class RequestInfo(msgspec.Struct, frozen=True):
     """The values of a caller's headers.
 
     deadline_s: how long the caller waits, counted from the first byte of its
@@ -41,44 +41,44 @@
         return self.request_id.decode('latin-1')
 
 
-class SendInfo(msgspec.Struct, frozen=True):
+class UpstreamRequestInfo(msgspec.Struct, frozen=True):
     """The values that are added to the headers sent to an upstream."""
 
-    left_s: float
+    remaining_s: float
     upstream: str
     workspace: str | None
     last_event: int | None
 
 
-class AnswerInfo(msgspec.Struct, frozen=True):
+class ResponseInfo(msgspec.Struct, frozen=True):
     """The values of the head of an upstream's answer.
 
-    proven: it carries the upstream's signature. not_executed: the upstream
-    states that it did not run the request. misplaced: another upstream has
+    is_signed: it carries the upstream's signature. not_executed: the upstream
+    states that it did not run the request. is_misdirected: another upstream has
     taken over the address. leaving: the upstream takes no new requests.
-    rest_s: backoff in seconds that it asks of this instance, 0 for none.
+    backoff_s: backoff in seconds that it asks of this instance, 0 for none.
     limit_per_s: requests per second that it accepts from all instances
-    together, None if it states no limit. unread: names of headers about the
-    upstream that this version does not interpret.
+    together, None if it states no limit. unknown_headers: names of headers
+    about the upstream that this version does not interpret.
     """
 
-    proven: bool
+    is_signed: bool
     not_executed: bool
-    misplaced: bool
+    is_misdirected: bool
     streams: bool
     leaving: bool = False
-    rest_s: float = 0
+    backoff_s: float = 0
     limit_per_s: float | None = None
-    unread: tuple[str, ...] = ()
+    unknown_headers: tuple[str, ...] = ()
 
     @property
     def has_upstream_status(self) -> bool:
         """Return whether the upstream is leaving, backing off or limited."""
         has_limit = self.limit_per_s is not None
-        return self.leaving or self.rest_s > 0 or has_limit
+        return self.leaving or self.backoff_s > 0 or has_limit
 
 
-class OwnAnswer(msgspec.Struct, frozen=True):
+class LocalResponse(msgspec.Struct, frozen=True):
     """An answer that this instance generates itself."""
 
     status: int
@@ -87,24 +87,24 @@
     body: bytes
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Reads and writes the headers of one interface."""
 
     id_header: bytes
 
-    def call(self, head: RequestHead) -> CallInfo:
-        """Parse the headers of a request; raise BadCallError."""
+    def parse_request(self, head: RequestHead) -> RequestInfo:
+        """Parse the headers of a request; raise InvalidHeaderError."""
 
     def upstream_headers(
         self,
         head: RequestHead,
         body_size: int,
-        info: SendInfo,
+        info: UpstreamRequestInfo,
     ) -> Headers:
         """Return the headers of a request for one upstream."""
 
-    def answer(self, head: ResponseHead) -> AnswerInfo:
+    def parse_response(self, head: ResponseHead) -> ResponseInfo:
         """Parse the head of an upstream's answer."""
 
-    def refusal(self, refusal: Refusal) -> OwnAnswer:
+    def encode_refusal(self, refusal: Refusal) -> LocalResponse:
         """Encode a refusal for this interface."""
--- a/packages/edge/src/tallyhall_edge/errors.py
+++ b/packages/edge/src/tallyhall_edge/errors.py
@@ -15,11 +15,11 @@
     """The upstream asked this instance to send nothing for some time."""
 
 
-class BrokenError(EdgeError):
+class ConnectionFailedError(EdgeError):
     """The connection failed after the request was written."""
 
 
-class ConnectionLostError(BrokenError):
+class ConnectionLostError(ConnectionFailedError):
     """The connection was lost while the request ran."""
 
 
@@ -27,5 +27,5 @@
     """An operation was called on an exchange that has ended."""
 
 
-class BadMessageError(BrokenError):
+class InvalidResponseError(ConnectionFailedError):
     """The upstream sent a malformed or oversized response."""
--- a/packages/edge/src/tallyhall_edge/events.py
+++ b/packages/edge/src/tallyhall_edge/events.py
@@ -36,7 +36,7 @@
         self._held = b''
 
     @property
-    def held(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Return the bytes of an incomplete event."""
         return self._held
 
--- a/packages/edge/src/tallyhall_edge/exchange.py
+++ b/packages/edge/src/tallyhall_edge/exchange.py
@@ -7,7 +7,13 @@
 from typing import Protocol
 
 from .errors import ExchangeEndedError
-from .messages import LAST_CHUNK, Headers, RequestHead, chunk, head_bytes
+from .messages import (
+    LAST_CHUNK,
+    Headers,
+    RequestHead,
+    encode_chunk,
+    encode_head,
+)
 
 
 class ExchangeConnection(Protocol):
@@ -27,7 +33,7 @@
     def abort(self) -> None:
         """Reset the connection."""
 
-    def failed(self, exc: Exception) -> None:
+    def on_error(self, exc: Exception) -> None:
         """Report an unexpected exception."""
 
 
@@ -36,7 +42,7 @@
 
     Once an exchange has ended, its connection may carry the next request.
     Operations that are called after that have no effect and are reported to the
-    server's `failed`.
+    server's `on_error`.
     """
 
     def __init__(
@@ -89,14 +95,16 @@
             self.keep_alive = False
             framing.append((b'Connection', b'close'))
         line = b'HTTP/1.1 %d %b' % (status, reason)
-        self._conn.write(head_bytes(line, (*headers, *framing)))
+        self._conn.write(encode_head(line, (*headers, *framing)))
 
     def write(self, payload: bytes) -> None:
         """Send a part of the body."""
         if self._report_if_ended('write'):
             return
         if payload:
-            self._conn.write(chunk(payload) if self._chunked else payload)
+            self._conn.write(
+                encode_chunk(payload) if self._chunked else payload
+            )
 
     def finish(self) -> None:
         """Complete the response."""
@@ -130,7 +138,7 @@
 
     def _report_if_ended(self, operation: str) -> bool:
         if self.ended:
-            self._conn.failed(
+            self._conn.on_error(
                 ExchangeEndedError(f'{operation} called after the end'),
             )
         return self.ended
--- a/packages/edge/src/tallyhall_edge/guard.py
+++ b/packages/edge/src/tallyhall_edge/guard.py
@@ -29,20 +29,22 @@
         Raises RefusedError if it is quarantined for now.
         """
 
-    async def permit(self, content: str) -> Permit:
+    async def request_permit(self, content: str) -> Permit:
         """Return a permit for one send; raise RefusedError."""
 
     def answered(self, content: str) -> None:
         """Record that a request was answered successfully."""
 
-    def lost(self, content: str, permit: Permit, upstream: Upstream) -> None:
+    def record_connection_lost(
+        self, content: str, permit: Permit, upstream: Upstream
+    ) -> None:
         """Record that the connection of a running request was lost."""
 
     def release(self, content: str) -> None:
         """Release the permit of a trial."""
 
 
-def given_up_error(content: str, wait_s: float) -> RefusedError:
+def quarantined_error(content: str, wait_s: float) -> RefusedError:
     """Return the refusal of a request that may crash another upstream."""
     refusal = Refusal.of(
         Reason.quarantined,
--- a/packages/edge/src/tallyhall_edge/lateness.py
+++ b/packages/edge/src/tallyhall_edge/lateness.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .visit import Visit
+from .request_context import RequestContext
 
 _MILLI = 1000
 
@@ -33,30 +33,30 @@
     is_resumed: bool
 
 
-def lateness(visit: Visit, ended_at: float) -> Lateness | None:
+def lateness(context: RequestContext, ended_at: float) -> Lateness | None:
     """Return the delays of a late answer, None if it was in time."""
-    route = visit.admitted.route
-    begun_at = visit.exchange.started_at or ended_at
-    elapsed_s = begun_at - visit.exchange.received_at + visit.since_first_s
+    route = context.admitted.route
+    begun_at = context.exchange.started_at or ended_at
+    elapsed_s = begun_at - context.exchange.received_at + context.since_first_s
     late_s = max(0, elapsed_s - route.objective_s)
-    pause_s = max(visit.pause_s, visit.resumed_pause_s)
+    pause_s = max(context.pause_s, context.resumed_pause_s)
     paused = 0 < route.gap_s < pause_s
     if not late_s and not paused:
         return None
     # The last send of a resumed stream may come after its first byte.
-    sent_at = min(visit.sent_at, begun_at)
-    wait_s = min(visit.total_wait_s, begun_at - visit.exchange.received_at)
-    between_s = sent_at - visit.first_sent_at - visit.retry_wait_s
+    sent_at = min(context.sent_at, begun_at)
+    wait_s = min(context.total_wait_s, begun_at - context.exchange.received_at)
+    between_s = sent_at - context.first_sent_at - context.retry_wait_s
     return Lateness(
         _millis(late_s),
-        _millis(visit.since_first_s),
+        _millis(context.since_first_s),
         _millis(wait_s),
         _millis(max(0, between_s)),
         _millis(begun_at - sent_at),
-        _millis(visit.forecast_s),
+        _millis(context.forecast_s),
         _millis(pause_s),
         _millis(route.gap_s),
-        visit.resumed_pause_s > visit.pause_s,
+        context.resumed_pause_s > context.pause_s,
     )
 
 
--- a/packages/edge/src/tallyhall_edge/messages.py
+++ b/packages/edge/src/tallyhall_edge/messages.py
@@ -53,7 +53,7 @@
         return 200 <= self.status < 300  # noqa: WPS432
 
 
-def find(headers: Headers, name: bytes) -> bytes | None:
+def find_header(headers: Headers, name: bytes) -> bytes | None:
     """Return the value of the first header with this lower-case name."""
     for key, text in headers:
         if key.lower() == name:
@@ -61,12 +61,14 @@
     return None
 
 
-def count(headers: Headers, name: bytes) -> int:
+def count_headers(headers: Headers, name: bytes) -> int:
     """Return how many headers have this lower-case name."""
     return sum(key.lower() == name for key, _ in headers)
 
 
-def forwarded(headers: Headers, without: Iterable[bytes] = ()) -> Headers:
+def forwardable_headers(
+    headers: Headers, without: Iterable[bytes] = ()
+) -> Headers:
     """Return the headers of a message that may be forwarded.
 
     Excluded are hop-by-hop headers, those named by any `Connection` header and
@@ -90,7 +92,7 @@
     return name.lower().replace(b'_', b'-')
 
 
-def head_bytes(first_line: bytes, headers: Headers) -> bytes:
+def encode_head(first_line: bytes, headers: Headers) -> bytes:
     """Encode a head, including the empty line at its end."""
     lines = [first_line]
     lines.extend(b'%b: %b' % (key, text) for key, text in headers)
@@ -98,7 +100,7 @@
     return b'\r\n'.join(lines)
 
 
-def chunk(payload: bytes) -> bytes:
+def encode_chunk(payload: bytes) -> bytes:
     """Encode one chunk of a chunked body."""
     return b'%x\r\n%b\r\n' % (len(payload), payload)
 
--- a/packages/edge/src/tallyhall_edge/relay.py
+++ b/packages/edge/src/tallyhall_edge/relay.py
@@ -14,11 +14,11 @@
 from tallyhall_dispatch.jobs import Ending, RunReport
 
 from .client import ClientConnection
-from .dialect import AnswerInfo, Dialect
-from .errors import BrokenError
+from .dialect import HeaderCodec, ResponseInfo
+from .errors import ConnectionFailedError
 from .events import BadEventError, EventSplitter, StreamEvent
 from .exchange import Exchange
-from .messages import Headers, ResponseHead, find, forwarded
+from .messages import Headers, ResponseHead, find_header, forwardable_headers
 
 # Answers up to this size in bytes are buffered until they are complete.
 _MAX_BUFFERED_BYTES = 65_536
@@ -33,7 +33,7 @@
     def __init__(
         self,
         exchange: Exchange,
-        dialect: Dialect,
+        codec: HeaderCodec,
         last_event: int | None,
         *,
         streaming: bool,
@@ -45,20 +45,20 @@
         # that awaits it cancels the future.
         self.ending: Ending | None = None
         # Why the connection did not deliver a complete answer, else None.
-        self.error: BrokenError | None = None
+        self.error: ConnectionFailedError | None = None
         self.last_event = last_event
         # Set once an answer has begun: at its first event, at the head of an
         # answer that is not a stream, or when it ends.
         self.begun = asyncio.Event()
         self.on_first_event: Callable[[], None] | None = None
         # Called with the parsed head before the answer is forwarded.
-        self.on_answer_info: Callable[[AnswerInfo], None] | None = None
+        self.on_answer_info: Callable[[ResponseInfo], None] | None = None
         self.head: ResponseHead | None = None
         self._loop = loop
         self._exchange = exchange
-        self._dialect = dialect
+        self._codec = codec
         self._streaming = streaming
-        self.info: AnswerInfo | None = None
+        self.info: ResponseInfo | None = None
         self._splitter: EventSplitter | None = None
         self._buffered: list[bytes] = []
         self._buffered_bytes = 0
@@ -108,11 +108,11 @@
         """Send the buffered answer to the caller."""
         head = self.head
         if head is None:
-            raise BrokenError('no buffered answer to deliver')
+            raise ConnectionFailedError('no buffered answer to deliver')
         self._exchange.answer(
             head.status,
             head.reason,
-            forwarded(head.headers),
+            forwardable_headers(head.headers),
             b''.join(self._buffered),
         )
 
@@ -121,11 +121,11 @@
     def on_head(self, head: ResponseHead) -> None:
         """Handle the head."""
         self.head = head
-        info = self._dialect.answer(head)
+        info = self._codec.parse_response(head)
         self.info = info
         if self.on_answer_info is not None:
             self.on_answer_info(info)
-        if head.is_success and not info.proven:
+        if head.is_success and not info.is_signed:
             self._finish(Ending.unknown)
             return
         if head.is_success and self._streaming:
@@ -148,12 +148,12 @@
         if self._buffered_bytes > _MAX_BUFFERED_BYTES:
             self._start_passthrough()
 
-    def on_end(self, exc: BrokenError | None) -> None:
+    def on_end(self, exc: ConnectionFailedError | None) -> None:
         """Determine how the answer ended; `exc` is None if it is complete."""
         if self.done.done():
             return
         self.error = exc
-        truncated = self._splitter is not None and self._splitter.held
+        truncated = self._splitter is not None and self._splitter.incomplete
         if exc is not None or truncated:
             self._end_incomplete()
             return
@@ -166,7 +166,7 @@
         info = self.info
         if head is None or info is None:
             return Ending.unknown
-        if info.misplaced:
+        if info.is_misdirected:
             return Ending.misplaced
         if info.not_executed:
             return Ending.rejected
@@ -175,7 +175,7 @@
                 return Ending.unknown
             self._exchange.finish()
             return Ending.answered
-        if head.status in _NOT_EXECUTED_STATUSES and not info.proven:
+        if head.status in _NOT_EXECUTED_STATUSES and not info.is_signed:
             return Ending.unknown
         if head.status >= _FIRST_SERVER_ERROR:
             return Ending.failed
@@ -228,7 +228,7 @@
             self._exchange.start(
                 head.status,
                 head.reason,
-                forwarded(head.headers),
+                forwardable_headers(head.headers),
                 None,
             )
 
@@ -240,7 +240,7 @@
         self._exchange.start(
             head.status,
             head.reason,
-            forwarded(head.headers),
+            forwardable_headers(head.headers),
             _stated_length(head.headers),
         )
         self._exchange.write(b''.join(self._buffered))
@@ -262,5 +262,5 @@
 
 
 def _stated_length(headers: Headers) -> int | None:
-    text = find(headers, b'content-length')
+    text = find_header(headers, b'content-length')
     return int(text) if text is not None and text.isdigit() else None
--- a/packages/edge/src/tallyhall_edge/visit.py
+++ b/packages/edge/src/tallyhall_edge/request_context.py
@@ -6,7 +6,7 @@
 from tallyhall_dispatch.gate import Admitted
 from tallyhall_dispatch.jobs import Grant
 
-from .dialect import CallInfo
+from .dialect import RequestInfo
 from .exchange import Exchange
 from .guard import Permit
 from .relay import Relay
@@ -14,7 +14,7 @@
 ANSWERED = 'answered'
 
 
-class Visit(msgspec.Struct):
+class RequestContext(msgspec.Struct):
     """The state of an admitted request; times of the event loop, in seconds.
 
     end_at: deadline of the request. last_event: number of the newest event
@@ -29,7 +29,7 @@
     """
 
     exchange: Exchange
-    call: CallInfo
+    call: RequestInfo
     admitted: Admitted
     end_at: float
     last_event: int | None
@@ -60,14 +60,14 @@
         return self.call.id_text
 
 
-def note_send(visit: Visit, grant: Grant, now: float) -> None:
+def record_send(context: RequestContext, grant: Grant, now: float) -> None:
     """Record that a request is sent now, after waiting for its slot."""
-    visit.sends += 1
-    visit.waited_s = grant.waited_s
-    visit.total_wait_s += grant.waited_s
-    visit.forecast_s = grant.forecast_s
-    visit.sent_at = now
-    if visit.sends == 1:
-        visit.first_sent_at = now
+    context.sends += 1
+    context.waited_s = grant.waited_s
+    context.total_wait_s += grant.waited_s
+    context.forecast_s = grant.forecast_s
+    context.sent_at = now
+    if context.sends == 1:
+        context.first_sent_at = now
         return
-    visit.retry_wait_s += grant.waited_s
+    context.retry_wait_s += grant.waited_s
--- a/packages/edge/src/tallyhall_edge/request_log.py
+++ b/packages/edge/src/tallyhall_edge/request_log.py
@@ -10,11 +10,11 @@
 from tallyhall_dispatch.jobs import Ending, Grant, RunReport
 from tallyhall_dispatch.quota import QuotaSeen
 
-from .dialect import CallInfo
+from .dialect import RequestInfo
 from .lateness import lateness
-from .scheduling import GivenUpError
+from .request_context import ANSWERED, RequestContext
+from .scheduling import JobRejectedError
 from .telemetry import Telemetry
-from .visit import ANSWERED, Visit
 
 _MILLI = 1000
 # Maximum length of a logged cause, in characters; it may contain bytes that an
@@ -35,7 +35,7 @@
 
     def admitted(
         self,
-        call: CallInfo,
+        call: RequestInfo,
         admitted: Admitted,
         confirmed_s_ago: float | None,
     ) -> None:
@@ -55,22 +55,22 @@
             **_charge_fields(admitted),
         )
 
-    def permitted(self, visit: Visit, grant: Grant) -> None:
+    def permitted(self, context: RequestContext, grant: Grant) -> None:
         """Log the upstream that a request is sent to."""
         self._telemetry.event(
             Event.permitted,
             served=True,
-            request=visit.request_id,
+            request=context.request_id,
             upstream=grant.upstream.incarnation,
             by=grant.by,
             waited_ms=_millis(grant.waited_s),
-            send=visit.sends,
-            after_event=visit.last_event,
+            send=context.sends,
+            after_event=context.last_event,
         )
 
     def send_ended(
         self,
-        visit: Visit,
+        context: RequestContext,
         upstream: Upstream,
         report: RunReport,
     ) -> None:
@@ -80,21 +80,21 @@
         repeatedly; the cause shows whether its connection was lost.
         """
         served = report.ending is Ending.answered
-        failed = {} if served else _failure_fields(visit)
+        failed = {} if served else _failure_fields(context)
         self._telemetry.event(
             Event.send_ended,
             served=served,
-            request=visit.request_id,
+            request=context.request_id,
             upstream=upstream.incarnation,
             ending=report.ending.value,
             first_ms=_millis(report.first_s),
-            forecast_ms=_millis(visit.forecast_s),
+            forecast_ms=_millis(context.forecast_s),
             events=report.events,
             pause_ms=_millis(report.pause_s),
             pause_after=report.pause_after,
             total_ms=_millis(report.total_s),
             **failed,
-            **_upstream_status_fields(visit),
+            **_upstream_status_fields(context),
         )
 
     def header_unread(self, upstream: Upstream, name: str) -> None:
@@ -108,21 +108,21 @@
             upstream=upstream.incarnation,
         )
 
-    def budget_binds(self, visit: Visit) -> None:
+    def budget_binds(self, context: RequestContext) -> None:
         """Log that the retry budget prevents a retry."""
         self._telemetry.event(
             Event.budget_binds,
-            request=visit.request_id,
-            service=visit.admitted.service,
+            request=context.request_id,
+            service=context.admitted.service,
         )
 
-    def caller_left(self, visit: Visit) -> None:
+    def caller_left(self, context: RequestContext) -> None:
         """Log that the caller disconnected before the end of its answer."""
         self._telemetry.event(
             Event.caller_left,
-            request=visit.request_id,
-            sends=visit.sends,
-            begun=visit.exchange.started,
+            request=context.request_id,
+            sends=context.sends,
+            begun=context.exchange.started,
         )
 
     def refused(
@@ -141,86 +141,91 @@
             **_refusal_fields(cause),
         )
 
-    def ended(self, visit: Visit, now: float) -> None:
+    def ended(self, context: RequestContext, now: float) -> None:
         """Log and count the end of a request."""
-        total_s = now - visit.exchange.received_at
-        self._telemetry.ended(
-            visit.outcome,
+        total_s = now - context.exchange.received_at
+        self._telemetry.record_request_end(
+            context.outcome,
             total_s,
-            visit.admitted.route.kind.value,
+            context.admitted.route.kind.value,
         )
-        served = visit.outcome == ANSWERED
+        served = context.outcome == ANSWERED
         # This line has all values that matter, even if earlier ones are lost.
         fields = (
-            _lateness_fields(visit, now) if served else _unserved_fields(visit)
+            _lateness_fields(context, now)
+            if served
+            else _unserved_fields(context)
         )
         self._telemetry.event(
             Event.finished,
             served=served,
-            request=visit.request_id,
-            outcome=visit.outcome,
+            request=context.request_id,
+            outcome=context.outcome,
             total_ms=_millis(total_s),
-            sends=visit.sends,
+            sends=context.sends,
             **fields,
         )
 
 
-def _unserved_fields(visit: Visit) -> dict[str, object]:
-    admitted = visit.admitted
+def _unserved_fields(context: RequestContext) -> dict[str, object]:
+    admitted = context.admitted
     workspace = admitted.workspace
     return {
         'route': admitted.route.name,
         'workspace': None if workspace is None else workspace.name,
         'service': admitted.service,
         'version': admitted.version,
-        'content': visit.content,
-        'tried': sorted(visit.excluded),
-        'may_have_run': visit.may_have_run,
-        'begun': visit.begun,
-        'since_first_ms': _millis(visit.since_first_s),
-        'waited_ms': _millis(visit.total_wait_s),
-        'limit_ms': _millis(visit.end_at - visit.exchange.received_at),
+        'content': context.content,
+        'tried': sorted(context.excluded),
+        'may_have_run': context.may_have_run,
+        'begun': context.begun,
+        'since_first_ms': _millis(context.since_first_s),
+        'waited_ms': _millis(context.total_wait_s),
+        'limit_ms': _millis(context.end_at - context.exchange.received_at),
     }
 
 
-def _failure_fields(visit: Visit) -> dict[str, object]:
-    relay = visit.relay
+def _failure_fields(context: RequestContext) -> dict[str, object]:
+    relay = context.relay
     error = None if relay is None else relay.error
     return {
-        'content': visit.content,
+        'content': context.content,
         'cause': None if error is None else str(error)[:_MAX_CAUSE_CHARS],
     }
 
 
-def _upstream_status_fields(visit: Visit) -> dict[str, object]:
+def _upstream_status_fields(context: RequestContext) -> dict[str, object]:
     """Return what the answer's head says about the upstream."""
-    info = None if visit.relay is None else visit.relay.info
+    info = None if context.relay is None else context.relay.info
     if info is None or not info.has_upstream_status:
         return {}
     return {
         'leaving': info.leaving,
-        'rest_ms': _millis(info.rest_s),
+        'rest_ms': _millis(info.backoff_s),
         'limit_per_s': info.limit_per_s,
     }
 
 
-def _lateness_fields(visit: Visit, now: float) -> dict[str, object]:
-    late = lateness(visit, now)
+def _lateness_fields(context: RequestContext, now: float) -> dict[str, object]:
+    late = lateness(context, now)
     if late is None:
         return {}
-    return {'route': visit.admitted.route.name, **msgspec.structs.asdict(late)}
+    return {
+        'route': context.admitted.route.name,
+        **msgspec.structs.asdict(late),
+    }
 
 
 def _refusal_fields(cause: RefusedError | None) -> dict[str, object]:
     if isinstance(cause, OverQuotaError):
         return _over_quota_fields(cause)
-    if isinstance(cause, GivenUpError):
-        outlook = cause.outlook
+    if isinstance(cause, JobRejectedError):
+        forecast = cause.forecast
         return {
-            'ahead': outlook.ahead,
-            'wait_ms': _millis(outlook.wait_s),
-            'rate': round(outlook.rate, 1),
-            'free': outlook.free,
+            'ahead': forecast.ahead,
+            'wait_ms': _millis(forecast.wait_s),
+            'rate': round(forecast.rate, 1),
+            'free': forecast.free,
         }
     return {}
 
--- a/packages/edge/src/tallyhall_edge/runner.py
+++ b/packages/edge/src/tallyhall_edge/runner.py
@@ -18,16 +18,16 @@
 from tallyhall_dispatch.patience import longest_wait_s
 
 from .connections import ConnectionPool
-from .dialect import BadCallError, CallInfo, Dialect
+from .dialect import HeaderCodec, InvalidHeaderError, RequestInfo
 from .exchange import Exchange
 from .guard import Guard
 from .relay import Relay
+from .request_context import ANSWERED, RequestContext, record_send
 from .request_log import RequestLog
 from .scheduling import Scheduler
 from .sending import Sender
-from .stopping import Stop, stopping_error
+from .stopping import StopSchedule, stopping_error
 from .telemetry import Telemetry
-from .visit import ANSWERED, Visit, note_send
 
 # Minimum Retry-After in seconds for requests that upstreams rejected.
 _REJECTED_RETRY_S = 0.3
@@ -38,7 +38,7 @@
 _STATE_POLL_S = 0.01
 
 
-class Runner:
+class RequestPipeline:
     """Handles the requests of all callers."""
 
     def __init__(
@@ -46,25 +46,25 @@
         gate: Gate,
         scheduler: Scheduler,
         conns: ConnectionPool,
-        dialect: Dialect,
+        codec: HeaderCodec,
         telemetry: Telemetry,
         instance: str,
         zone: str,
         guard: Guard,
     ) -> None:
         """Create the handler from the components of the instance."""
-        # Asks other instances for their quota usage; returns whether this
+        # Refreshes the quota use from other instances; returns whether this
         # brought newer values.
-        self.ask_use: Callable[[], Awaitable[bool]] = _no_refresh
+        self.refresh_quota_use: Callable[[], Awaitable[bool]] = _no_refresh
         self._gate = gate
         self._scheduler = scheduler
-        self._dialect = dialect
+        self._codec = codec
         self._log = RequestLog(telemetry)
         self._sender = Sender(
             gate,
             scheduler,
             conns,
-            dialect,
+            codec,
             self._log,
             guard,
         )
@@ -75,49 +75,49 @@
         self._job_numbers = itertools.count()
         self._first_tries = FirstTries()
         # Set once the instance is told to stop.
-        self._stop: Stop | None = None
+        self._stop: StopSchedule | None = None
         # Requests that wait for an upstream.
-        self._pending: dict[asyncio.Timeout, Visit] = {}
+        self._pending: dict[asyncio.Timeout, RequestContext] = {}
         self._loop = asyncio.get_running_loop()
 
-    def begin_stop(self, stop: Stop) -> None:
+    def begin_stop(self, stop: StopSchedule) -> None:
         """Refuse requests that could not finish, including waiting ones."""
         self._stop = stop
-        for timeout, visit in self._pending.items():
-            timeout.reschedule(self._acquire_deadline(visit))
+        for timeout, context in self._pending.items():
+            timeout.reschedule(self._acquire_deadline(context))
 
     async def handle(self, exchange: Exchange) -> None:
         """Answer one request."""
         try:
-            call = self._dialect.call(exchange.head)
-        except BadCallError as exc:
+            call = self._codec.parse_request(exchange.head)
+        except InvalidHeaderError as exc:
             refusal = Refusal.of(Reason.bad_request, detail=str(exc))
             self._refuse(exchange, refusal, '')
             return
         await self._wait_for_state(exchange.received_at)
         try:
-            visit = await self._admit_with_refresh(exchange, call)
+            context = await self._admit_with_refresh(exchange, call)
         except RefusedError as exc:
             self._refuse(exchange, exc.refusal, call.id_text, exc)
             return
-        await self._process(visit)
+        await self._process(context)
 
     # -- steps
 
-    async def _process(self, visit: Visit) -> None:
+    async def _process(self, context: RequestContext) -> None:
         try:
-            async with asyncio.timeout_at(visit.end_at):
-                await self._serve(visit)
+            async with asyncio.timeout_at(context.end_at):
+                await self._serve(context)
         except RefusedError as exc:
-            self._end_refused(visit, exc.refusal, exc)
+            self._end_refused(context, exc.refusal, exc)
         except TimeoutError:
-            self._on_timeout(visit)
+            self._on_timeout(context)
         except asyncio.CancelledError:
-            visit.outcome = visit.outcome or 'caller_left'
-            self._log.caller_left(visit)
+            context.outcome = context.outcome or 'caller_left'
+            self._log.caller_left(context)
             raise
         finally:
-            self._finalize(visit)
+            self._finalize(context)
 
     async def _wait_for_state(self, received_at: float) -> None:
         """Wait for the first desired state, for a limited time."""
@@ -127,17 +127,17 @@
             await asyncio.sleep(_STATE_POLL_S)
 
     async def _admit_with_refresh(
-        self, exchange: Exchange, call: CallInfo
-    ) -> Visit:
+        self, exchange: Exchange, call: RequestInfo
+    ) -> RequestContext:
         """Admit a request; refresh the quota usage before refusing for it."""
         try:
-            return self._enter(exchange, call)
+            return self._admit(exchange, call)
         except OverQuotaError:
-            if not await self.ask_use():
+            if not await self.refresh_quota_use():
                 raise
-        return self._enter(exchange, call)
+        return self._admit(exchange, call)
 
-    def _enter(self, exchange: Exchange, call: CallInfo) -> Visit:
+    def _admit(self, exchange: Exchange, call: RequestInfo) -> RequestContext:
         admitted = self._gate.admit(
             call.host,
             exchange.head.path,
@@ -150,7 +150,7 @@
         limit_s = admitted.route.timeout_s
         if call.deadline_s is not None:
             limit_s = min(limit_s, call.deadline_s)
-        return Visit(
+        return RequestContext(
             exchange,
             call,
             admitted,
@@ -163,7 +163,7 @@
     def _digest_content(
         self,
         exchange: Exchange,
-        call: CallInfo,
+        call: RequestInfo,
         admitted: Admitted,
     ) -> str:
         workspace = admitted.workspace
@@ -180,7 +180,7 @@
     def _since_first_s(
         self,
         exchange: Exchange,
-        call: CallInfo,
+        call: RequestInfo,
         admitted: Admitted,
     ) -> float:
         workspace = admitted.workspace
@@ -191,164 +191,166 @@
             exchange.received_at,
         )
 
-    async def _serve(self, visit: Visit) -> None:
-        self._check_stop(visit)
+    async def _serve(self, context: RequestContext) -> None:
+        self._check_stop(context)
         while True:
-            ends = self._guard.check(visit.content)
-            job = self._job(visit, suspect=visit.content if ends else '')
-            grant = await self._acquire(visit, job)
-            note_send(visit, grant, self._loop.time())
-            self._log.permitted(visit, grant)
+            ends = self._guard.check(context.content)
+            job = self._job(context, suspect=context.content if ends else '')
+            grant = await self._acquire(context, job)
+            record_send(context, grant, self._loop.time())
+            self._log.permitted(context, grant)
             ending, relay = await self._sender.send(
-                visit,
+                context,
                 job,
                 grant.upstream,
             )
             if ending is Ending.answered:
-                self._complete(visit, relay)
+                self._complete(context, relay)
                 return
-            visit.last_event = relay.last_event
-            visit.excluded.add(grant.upstream.incarnation)
-            if not self._sender.may_retry(visit, ending):
-                self._fail(visit, ending, relay)
+            context.last_event = relay.last_event
+            context.excluded.add(grant.upstream.incarnation)
+            if not self._sender.may_retry(context, ending):
+                self._fail(context, ending, relay)
                 return
 
-    def _check_stop(self, visit: Visit) -> None:
+    def _check_stop(self, context: RequestContext) -> None:
         """Refuse a request that could still be running when the instance ends.
 
         The check uses the current time, as the body of a request may be
         complete long after its head was received.
         """
         stop = self._stop
-        if stop is None or not stop.refuses(self._loop.time()):
+        if stop is None or not stop.is_refusing(self._loop.time()):
             return
-        if visit.end_at > stop.ends_at:
+        if context.end_at > stop.ends_at:
             raise stopping_error()
 
-    async def _acquire(self, visit: Visit, job: Job) -> Grant:
+    async def _acquire(self, context: RequestContext, job: Job) -> Grant:
         """Return an upstream; refuse a waiting request before a stop ends."""
-        timeout = asyncio.timeout_at(self._acquire_deadline(visit))
+        timeout = asyncio.timeout_at(self._acquire_deadline(context))
         try:
             async with timeout:
-                self._pending[timeout] = visit
+                self._pending[timeout] = context
                 return await self._scheduler.acquire(job)
         except TimeoutError as exc:
             raise stopping_error() from exc
         finally:
             self._pending.pop(timeout, None)
 
-    def _acquire_deadline(self, visit: Visit) -> float | None:
+    def _acquire_deadline(self, context: RequestContext) -> float | None:
         """Return when a stop ends a request's wait, None if it does not."""
         stop = self._stop
-        if stop is None or visit.end_at <= stop.ends_at:
+        if stop is None or context.end_at <= stop.ends_at:
             return None
-        if visit.sends:
+        if context.sends:
             return stop.retry_deadline
         return stop.first_send_deadline
 
-    def _job(self, visit: Visit, suspect: str) -> Job:
-        route = visit.admitted.route
-        call = visit.call
-        received_at = visit.exchange.received_at
-        wait_s = longest_wait_s(route, visit.end_at - received_at)
-        if visit.sends:
+    def _job(self, context: RequestContext, suspect: str) -> Job:
+        route = context.admitted.route
+        call = context.call
+        received_at = context.exchange.received_at
+        wait_s = longest_wait_s(route, context.end_at - received_at)
+        if context.sends:
             received_at = self._loop.time()
         return Job(
             key=f'{self._instance}/{next(self._job_numbers)}',
-            service=visit.admitted.service,
+            service=context.admitted.service,
             zone=self._zone,
             urgency=route.priority,
             prompt_tokens=call.prompt_tokens,
             output_tokens=call.output_tokens,
             asked_at=self._loop.time(),
             due_at=(
-                visit.exchange.received_at
-                - visit.since_first_s
+                context.exchange.received_at
+                - context.since_first_s
                 + route.objective_s
             ),
-            give_up_at=min(visit.end_at, received_at + wait_s),
-            excluded=frozenset(visit.excluded),
-            spare=visit.admitted.over_quota_s > 0,
+            give_up_at=min(context.end_at, received_at + wait_s),
+            excluded=frozenset(context.excluded),
+            spare=context.admitted.over_quota_s > 0,
             pause_s=route.gap_s,
             suspect=suspect,
-            resting=self._sender.rests.current(self._loop.time()),
+            resting=self._sender.backoffs.current(self._loop.time()),
             route=route.name,
             once=not route.repeatable,
         )
 
     # -- outcomes
 
-    def _complete(self, visit: Visit, relay: Relay) -> None:
-        visit.outcome = ANSWERED
-        if not visit.exchange.ended:
+    def _complete(self, context: RequestContext, relay: Relay) -> None:
+        context.outcome = ANSWERED
+        if not context.exchange.ended:
             relay.deliver()
 
-    def _fail(self, visit: Visit, ending: Ending, relay: Relay) -> None:
-        if visit.exchange.started:
-            visit.outcome = 'broken'
-            visit.exchange.abort()
+    def _fail(
+        self, context: RequestContext, ending: Ending, relay: Relay
+    ) -> None:
+        if context.exchange.started:
+            context.outcome = 'broken'
+            context.exchange.abort()
             return
         if ending is Ending.failed:
-            visit.outcome = 'upstream_error'
+            context.outcome = 'upstream_error'
             relay.deliver()
             return
-        if visit.may_have_run:
+        if context.may_have_run:
             refusal = Refusal.of(Reason.upstream_broken)
         elif ending is Ending.rejected:
             refusal = Refusal.of(
                 Reason.upstream_full,
-                retry_after=self._rejected_retry_s(visit.admitted.service),
+                retry_after=self._rejected_retry_s(context.admitted.service),
             )
         else:
             refusal = Refusal.of(
                 Reason.no_upstream,
                 retry_after=_REJECTED_RETRY_S,
             )
-        self._end_refused(visit, refusal)
+        self._end_refused(context, refusal)
 
     def _rejected_retry_s(self, service: str) -> float:
         """Return when to retry after a rejection; covers pending backoffs."""
-        resting = self._sender.rests.current(self._loop.time())
-        rest_s = self._scheduler.opens_in_s(service, resting)
-        return max(_REJECTED_RETRY_S, rest_s)
+        backoffs = self._sender.backoffs.current(self._loop.time())
+        backoff_s = self._scheduler.backoff_ends_in_s(service, backoffs)
+        return max(_REJECTED_RETRY_S, backoff_s)
 
-    def _on_timeout(self, visit: Visit) -> None:
-        relay = visit.relay
+    def _on_timeout(self, context: RequestContext) -> None:
+        relay = context.relay
         # After a stall of the process, the timeout may expire in the same
         # iteration of the event loop that read the complete answer; the answer
         # counts.
         if relay is not None and relay.ending is Ending.answered:
-            self._complete(visit, relay)
+            self._complete(context, relay)
             return
-        if visit.exchange.started:
-            visit.outcome = 'timed_out'
-            visit.exchange.abort()
+        if context.exchange.started:
+            context.outcome = 'timed_out'
+            context.exchange.abort()
             return
         reason = Reason.deadline_unreachable
-        if visit.may_have_run:
+        if context.may_have_run:
             reason = Reason.timed_out
-        self._end_refused(visit, Refusal.of(reason))
+        self._end_refused(context, Refusal.of(reason))
 
     def _end_refused(
         self,
-        visit: Visit,
+        context: RequestContext,
         refusal: Refusal,
         cause: RefusedError | None = None,
     ) -> None:
-        if visit.exchange.started:
-            visit.outcome = 'broken'
-            visit.exchange.abort()
+        if context.exchange.started:
+            context.outcome = 'broken'
+            context.exchange.abort()
             return
-        if visit.may_have_run and refusal.executed is Executed.no:
+        if context.may_have_run and refusal.executed is Executed.no:
             refusal = Refusal.of(Reason.upstream_broken)
-        over_quota_s = visit.admitted.over_quota_s
+        over_quota_s = context.admitted.over_quota_s
         if over_quota_s and refusal.reason is Reason.deadline_unreachable:
             refusal = Refusal.of(
                 Reason.rate_limited,
                 retry_after=over_quota_s,
             )
-        visit.outcome = refusal.reason.value
-        self._refuse(visit.exchange, refusal, visit.request_id, cause)
+        context.outcome = refusal.reason.value
+        self._refuse(context.exchange, refusal, context.request_id, cause)
 
     def _refuse(
         self,
@@ -358,7 +360,7 @@
         cause: RefusedError | None = None,
     ) -> None:
         self._log.refused(request_id, refusal, cause)
-        answer = self._dialect.refusal(refusal)
+        answer = self._codec.encode_refusal(refusal)
         exchange.answer(
             answer.status,
             answer.reason,
@@ -366,13 +368,13 @@
             answer.body,
         )
 
-    def _finalize(self, visit: Visit) -> None:
+    def _finalize(self, context: RequestContext) -> None:
         now = self._loop.time()
-        if not visit.may_have_run:
+        if not context.may_have_run:
             # This includes requests whose caller disconnected or whose time
             # ran out before they were sent.
-            self._gate.give_back(visit.admitted, now)
-        self._log.ended(visit, now)
+            self._gate.give_back(context.admitted, now)
+        self._log.ended(context, now)
 
 
 async def _no_refresh() -> bool:
--- a/packages/edge/src/tallyhall_edge/scheduling.py
+++ b/packages/edge/src/tallyhall_edge/scheduling.py
@@ -1,8 +1,8 @@
 """The service pools of this instance, and the delivery of their decisions.
 
 Jobs come from requests of this instance and, if it owns a service, from other
-instances. Both are queued in the same way; the `Origin` of a job is notified
-of the decision.
+instances. Both are queued in the same way; the `JobListener` of a job is
+notified of the decision.
 """
 
 from __future__ import annotations
@@ -47,10 +47,10 @@
 class UpstreamListener(Protocol):
     """Receives the signals that upstreams send in their answers."""
 
-    def leaves(self, incarnation: str) -> None:
+    def on_leaving(self, incarnation: str) -> None:
         """Handle the announcement of an upstream that it is leaving."""
 
-    def names_limit(
+    def on_limit_announced(
         self,
         incarnation: str,
         per_s: float | None,
@@ -67,7 +67,7 @@
     """Assigns upstreams to requests."""
 
     @property
-    def upstream_news(self) -> UpstreamListener:
+    def upstream_listener(self) -> UpstreamListener:
         """Return the listener for signals in answers."""
 
     async def acquire(self, job: Job) -> Grant:
@@ -76,13 +76,15 @@
     def is_usable(self, upstream: Upstream) -> bool:
         """Return whether an upstream still takes new requests."""
 
-    def first_byte(self, job: Job) -> None:
+    def record_first_byte(self, job: Job) -> None:
         """Record that the answer of a job has begun."""
 
-    def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
+    def backoff_ends_in_s(
+        self, service: str, backoffs: Mapping[str, float]
+    ) -> float:
         """Return the time until an upstream of a service is out of backoff.
 
-        resting: the upstreams in backoff and the end of each backoff. The
+        backoffs: the upstreams in backoff and the end of each backoff. The
         result is 0 if any upstream is not in backoff.
         """
 
@@ -90,13 +92,13 @@
         """Record that a send has ended."""
 
 
-class Origin(Protocol):
+class JobListener(Protocol):
     """The requester of a job, notified of the decision."""
 
-    def granted(self, granted: Granted) -> None:
+    def on_granted(self, granted: Granted) -> None:
         """Handle the assignment of an upstream and the forecast."""
 
-    def given_up(self, given_up: GivenUp) -> None:
+    def on_rejected(self, given_up: GivenUp) -> None:
         """Handle the decision that a job cannot be answered in time."""
 
 
@@ -108,12 +110,12 @@
         self._rng = rng
         self._loop = asyncio.get_running_loop()
         self._pools: dict[str, ServicePool] = {}
-        self._origins: dict[str, Origin] = {}
+        self._listeners: dict[str, JobListener] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._upstreams: tuple[Upstream, ...] = ()
         self._by_incarnation: dict[str, Upstream] = {}
-        self.leavers = Leavers()
-        self.named_limits = NamedLimits()
+        self.leaving_upstreams = Leavers()
+        self.announced_limits = NamedLimits()
         # The share of the limits of each service that this instance may use.
         self._limit_shares: dict[str, float] = {}
         self._versions: dict[str, ServiceVersions] = collections.defaultdict(
@@ -132,7 +134,7 @@
         pool = self._pools.get(service)
         return pool is not None and pool.is_model
 
-    def is_shared(self, service: str) -> bool:
+    def has_owner(self, service: str) -> bool:
         """Return whether one instance schedules all requests of a service.
 
         This applies to model engines, and to any service in a rollout or with
@@ -144,7 +146,7 @@
             return True
         return self._versions[service].running is not None
 
-    def places(self, service: str) -> tuple[int, int]:
+    def slots(self, service: str) -> tuple[int, int]:
         """Return the slots of the upstreams in use and of the canaries."""
         pool = self._pools.get(service)
         return (0, 0) if pool is None else (pool.places, pool.canary_places)
@@ -158,7 +160,7 @@
         upstream = self._by_incarnation.get(incarnation)
         return upstream is not None and not upstream.leaving
 
-    def take_state(self, state: DesiredState) -> None:
+    def apply_state(self, state: DesiredState) -> None:
         """Create a pool for each new service of the desired state."""
         for name, service in state.services.items():
             if name not in self._pools:
@@ -167,13 +169,13 @@
                     service.event_tokens,
                     self._rng,
                 )
-        self.take_upstreams(self._upstreams)
+        self.apply_upstreams(self._upstreams)
 
-    def take_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
+    def apply_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
         """Replace the set of upstreams and decide on waiting jobs."""
         self._upstreams = upstreams
         grouped: dict[str, list[Upstream]] = collections.defaultdict(list)
-        for known in map(self.leavers.marked, upstreams):
+        for known in map(self.leaving_upstreams.marked, upstreams):
             grouped[known.service].append(known)
         now = self._loop.time()
         marked = {
@@ -190,7 +192,7 @@
             self._apply_limits(pool)
             self._apply_decisions(pool)
 
-    def take_rollout(
+    def apply_rollout(
         self,
         service: str,
         order: RolloutOrder | None,
@@ -200,81 +202,85 @@
         versions = self._versions[service]
         versions.order = order
         versions.status = status
-        self.take_upstreams(self._upstreams)
+        self.apply_upstreams(self._upstreams)
 
-    def look_at_versions(self) -> None:
+    def check_versions(self) -> None:
         """Switch services to another version if the one in use is absent."""
         now = self._loop.time()
         if any(versions.is_absent(now) for versions in self._versions.values()):
-            self.take_upstreams(self._upstreams)
+            self.apply_upstreams(self._upstreams)
 
-    def lead(self, service: str, rollout: Rollout | None) -> None:
+    def set_led_rollout(self, service: str, rollout: Rollout | None) -> None:
         """Start to schedule requests of a service on canaries, or stop."""
         pool = self._pools.get(service)
         if pool is not None:
             pool.rollout = rollout
 
-    def leaves(self, incarnation: str) -> bool:
+    def mark_leaving(self, incarnation: str) -> bool:
         """Mark an upstream as leaving; return whether this is new.
 
         The mark holds until the upstream ends, whatever its registry entry
         says.
         """
-        if not self.leavers.add(incarnation):
+        if not self.leaving_upstreams.add(incarnation):
             return False
-        self.take_upstreams(self._upstreams)
+        self.apply_upstreams(self._upstreams)
         return True
 
     @property
-    def said_to_leave(self) -> tuple[str, ...]:
+    def announced_leaving(self) -> tuple[str, ...]:
         """Return the known upstreams that announced that they are leaving."""
         return tuple(
-            name for name in self._by_incarnation if name in self.leavers
+            name
+            for name in self._by_incarnation
+            if name in self.leaving_upstreams
         )
 
-    def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
+    def backoff_ends_in_s(
+        self, service: str, backoffs: Mapping[str, float]
+    ) -> float:
         """Return the time until an upstream is out of backoff, 0 if one is."""
         pool = self._pools.get(service)
         if pool is None:
             return 0
-        return pool.opens_in_s(resting, self._loop.time())
+        return pool.opens_in_s(backoffs, self._loop.time())
 
-    def ask(self, job: Job, origin: Origin) -> None:
-        """Queue a job; the origin may be notified before this returns."""
+    def submit(self, job: Job, listener: JobListener) -> None:
+        """Queue a job; the listener may be notified before this returns."""
         pool = self._pools.get(job.service)
         if pool is None:
-            origin.given_up(GivenUp(job.key, _UNKNOWN_SERVICE_RETRY_S))
+            listener.on_rejected(GivenUp(job.key, _UNKNOWN_SERVICE_RETRY_S))
             return
-        self._origins[job.key] = origin
+        self._listeners[job.key] = listener
         pool.ask(job)
         self._apply_decisions(pool)
 
-    def withdraw(self, key: str) -> None:
+    def cancel(self, key: str) -> None:
         """Remove a waiting job."""
-        self._origins.pop(key, None)
+        self._listeners.pop(key, None)
         for pool in self._pools.values():
             pool.withdraw(key)
 
-    def note_running(self, job: Job, incarnation: str) -> None:
+    def add_running(self, job: Job, incarnation: str) -> None:
         """Record a running job that another instance granted."""
         pool = self._pools.get(job.service)
         if pool is not None:
             pool.note_running(job, incarnation)
 
-    def first_byte(self, key: str, service: str) -> None:
+    def record_first_byte(self, key: str, service: str) -> None:
         """Record that the answer of a job has begun."""
         pool = self._pools.get(service)
         if pool is not None:
             pool.first_byte(key)
 
-    def first_byte_of(self, key: str) -> None:
+    def record_first_byte_of(self, key: str) -> None:
         """Record that the answer of a job of unknown service has begun."""
         for pool in self._pools.values():
             pool.first_byte(key)
 
     def is_waiting(self, key: str) -> bool:
         """Return whether a job waits on this instance."""
-        return key in self._origins
+        return key in self._listeners
 
     def service_of(self, incarnation: str) -> str:
         """Return the service of an upstream, empty for an unknown one."""
@@ -303,7 +309,7 @@
             self._apply_limits(pool)
             self._apply_decisions(pool)
 
-    def take_limit_parts(self, parts: Mapping[str, float]) -> None:
+    def apply_limit_shares(self, parts: Mapping[str, float]) -> None:
         """Apply this instance's shares of the limits, by service.
 
         For services that are missing or have a share of 0, another instance
@@ -323,13 +329,13 @@
             if pool.upstreams.is_limited
         )
 
-    def take_share(self, share: float) -> None:
+    def apply_slot_share(self, share: float) -> None:
         """Use at most this share of the slots of model engines."""
         for pool in self._pools.values():
             if pool.is_model:
                 pool.take_share(share)
 
-    def may_fill(self, service: str, filled: int, instances: int) -> bool:
+    def may_use_slot(self, service: str, filled: int, instances: int) -> bool:
         """Return whether this instance may fill one more slot.
 
         filled: slots that it uses now. instances: number of instances that
@@ -349,9 +355,9 @@
 
     def drop_jobs(self, prefix: str) -> None:
         """Remove all jobs whose key has this prefix."""
-        for key in tuple(self._origins):
+        for key in tuple(self._listeners):
             if key.startswith(prefix):
-                self._origins.pop(key)
+                self._listeners.pop(key)
         for pool in self._pools.values():
             pool.drop_jobs(prefix)
             self._apply_decisions(pool)
@@ -359,18 +365,18 @@
     def _apply_limits(self, pool: ServicePool) -> None:
         part = self._limit_shares.get(pool.service, 0)
         pool.upstreams.apply_limits(
-            self.named_limits.current, part, self._loop.time()
+            self.announced_limits.current, part, self._loop.time()
         )
 
     def _apply_decisions(self, pool: ServicePool) -> None:
         for decision in pool.decide(self._loop.time()):
-            origin = self._origins.pop(decision.key, None)
-            if origin is None:
+            listener = self._listeners.pop(decision.key, None)
+            if listener is None:
                 continue
             if isinstance(decision, Granted):
-                origin.granted(decision)
+                listener.on_granted(decision)
             elif isinstance(decision, GivenUp):
-                origin.given_up(decision)
+                listener.on_rejected(decision)
         if pool.waiting and self._timer is None:
             self._timer = self._loop.call_later(_POLL_S, self._poll)
 
@@ -381,7 +387,7 @@
                 self._apply_decisions(pool)
 
 
-class GivenUpError(RefusedError):
+class JobRejectedError(RefusedError):
     """The refusal of a job that cannot be answered in time."""
 
     def __init__(self, given_up: GivenUp) -> None:
@@ -391,4 +397,4 @@
             retry_after=given_up.retry_after_s,
         )
         super().__init__(refusal)
-        self.outlook = given_up.outlook
+        self.forecast = given_up.outlook
--- a/packages/edge/src/tallyhall_edge/sending.py
+++ b/packages/edge/src/tallyhall_edge/sending.py
@@ -18,14 +18,14 @@
 
 from .client import ClientConnection
 from .connections import ConnectionPool
-from .dialect import AnswerInfo, Dialect, SendInfo
-from .errors import ConnectionLostError, NotSentError, BackoffError
+from .dialect import HeaderCodec, ResponseInfo, UpstreamRequestInfo
+from .errors import BackoffError, ConnectionLostError, NotSentError
 from .guard import Guard
-from .messages import head_bytes
+from .messages import encode_head
 from .relay import Relay
+from .request_context import RequestContext
 from .request_log import RequestLog
 from .scheduling import Scheduler
-from .visit import Visit
 
 # A kept connection may have died unnoticed. Repeatable requests use any kept
 # connection; others use only one that was in use a moment ago. In seconds.
@@ -56,7 +56,7 @@
         gate: Gate,
         scheduler: Scheduler,
         conns: ConnectionPool,
-        dialect: Dialect,
+        codec: HeaderCodec,
         log: RequestLog,
         guard: Guard,
     ) -> None:
@@ -65,105 +65,109 @@
         self._gate = gate
         self._scheduler = scheduler
         self._conns = conns
-        self._dialect = dialect
+        self._codec = codec
         self._log = log
         # Backoffs that upstreams requested from this instance.
-        self.rests = Rests()
+        self.backoffs = Rests()
         self._loop = asyncio.get_running_loop()
 
     async def send(
         self,
-        visit: Visit,
+        context: RequestContext,
         job: Job,
         upstream: Upstream,
     ) -> tuple[Ending, Relay]:
         """Send a request once; return how that ended and the answer."""
-        relay = self._make_relay(visit, job, upstream)
-        visit.relay = relay
+        relay = self._make_relay(context, job, upstream)
+        context.relay = relay
         ending = Ending.left
         try:
-            ending = await self._send_once(visit, upstream, relay)
+            ending = await self._send_once(context, upstream, relay)
         except BackoffError:
             ending = Ending.withheld
         except NotSentError:
             ending = Ending.unsent
         finally:
             # Read before this instance writes an answer of its own.
-            visit.begun = visit.exchange.started
+            context.begun = context.exchange.started
             # An ending that was reached before the wait was cancelled counts.
             report = relay.report(relay.ending or ending)
             self._scheduler.finish(job, upstream, report)
-            self._record_end(visit, upstream, report)
+            self._record_end(context, upstream, report)
         return report.ending, relay
 
-    def may_retry(self, visit: Visit, ending: Ending) -> bool:
+    def may_retry(self, context: RequestContext, ending: Ending) -> bool:
         """Return whether a request may be retried; spend its retry budget."""
-        if visit.sends >= _MAX_SENDS:
+        if context.sends >= _MAX_SENDS:
             return False
         if ending in _SAFE_TO_RESEND:
             if ending in NOT_SENT:
                 # Nothing was sent, so the retry budget is not charged.
                 return True
-            return self._spend_retry_budget(visit)
-        route = visit.admitted.route
-        if not route.repeatable or visit.may_have_run >= route.attempts:
+            return self._spend_retry_budget(context)
+        route = context.admitted.route
+        if not route.repeatable or context.may_have_run >= route.attempts:
             return False
-        if visit.exchange.started and not route.resumable:
+        if context.exchange.started and not route.resumable:
             return False
-        return self._spend_retry_budget(visit)
+        return self._spend_retry_budget(context)
 
     # -- steps
 
     def _record_end(
         self,
-        visit: Visit,
+        context: RequestContext,
         upstream: Upstream,
         report: RunReport,
     ) -> None:
-        visit.pause_s = max(visit.pause_s, report.pause_s)
-        self._log.send_ended(visit, upstream, report)
-        self._update_guard(visit, upstream)
+        context.pause_s = max(context.pause_s, report.pause_s)
+        self._log.send_ended(context, upstream, report)
+        self._update_guard(context, upstream)
 
-    def _update_guard(self, visit: Visit, upstream: Upstream) -> None:
-        permit = visit.permit
-        relay = visit.relay
+    def _update_guard(
+        self, context: RequestContext, upstream: Upstream
+    ) -> None:
+        permit = context.permit
+        relay = context.relay
         if permit is None or relay is None:
             return
-        visit.permit = None
+        context.permit = None
         if isinstance(relay.error, ConnectionLostError):
-            self._guard.lost(visit.content, permit, upstream)
+            self._guard.record_connection_lost(
+                context.content, permit, upstream
+            )
         elif relay.succeeded:
-            self._guard.answered(visit.content)
+            self._guard.answered(context.content)
         if permit.is_trial:
-            self._guard.release(visit.content)
+            self._guard.release(context.content)
 
     def _apply_answer_info(
         self,
         upstream: Upstream,
         asked_at: float,
-        info: AnswerInfo,
+        info: ResponseInfo,
     ) -> None:
         self._report_limit(upstream, asked_at, info)
         if info.leaving:
-            self._scheduler.upstream_news.leaves(upstream.incarnation)
-            self._conns.drop(upstream.incarnation)
-        if info.rest_s:
+            self._scheduler.upstream_listener.on_leaving(upstream.incarnation)
+            self._conns.close_idle(upstream.incarnation)
+        if info.backoff_s:
             now = self._loop.time()
-            self.rests.ask(upstream.incarnation, info.rest_s, now)
-        for name in info.unread:
+            self.backoffs.ask(upstream.incarnation, info.backoff_s, now)
+        for name in info.unknown_headers:
             self._log.header_unread(upstream, name)
 
     def _report_limit(
         self,
         upstream: Upstream,
         asked_at: float,
-        info: AnswerInfo,
+        info: ResponseInfo,
     ) -> None:
         # An upstream may reject a request before it has loaded its state; a
         # rejection without a limit does not mean that there is none.
-        has_run = info.proven and not info.not_executed
+        has_run = info.is_signed and not info.not_executed
         if has_run or info.limit_per_s is not None:
-            self._scheduler.upstream_news.names_limit(
+            self._scheduler.upstream_listener.on_limit_announced(
                 upstream.incarnation,
                 info.limit_per_s,
                 asked_at,
@@ -171,15 +175,15 @@
 
     def _make_relay(
         self,
-        visit: Visit,
+        context: RequestContext,
         job: Job,
         upstream: Upstream,
     ) -> Relay:
-        streaming = visit.admitted.route.kind is RouteKind.streaming
+        streaming = context.admitted.route.kind is RouteKind.streaming
         relay = Relay(
-            visit.exchange,
-            self._dialect,
-            visit.last_event,
+            context.exchange,
+            self._codec,
+            context.last_event,
             streaming=streaming,
         )
         relay.on_answer_info = functools.partial(
@@ -189,48 +193,48 @@
         )
         relay.on_first_event = functools.partial(
             self._on_first_event,
-            visit,
+            context,
             job,
-            visit.relay,
+            context.relay,
         )
         return relay
 
     def _on_first_event(
         self,
-        visit: Visit,
+        context: RequestContext,
         job: Job,
         earlier: Relay | None,
     ) -> None:
         """Record the first event; measure the pause if it resumes a stream."""
-        self._scheduler.first_byte(job)
+        self._scheduler.record_first_byte(job)
         if earlier is not None and earlier.last_event_at:
             pause_s = self._loop.time() - earlier.last_event_at
-            visit.resumed_pause_s = max(visit.resumed_pause_s, pause_s)
+            context.resumed_pause_s = max(context.resumed_pause_s, pause_s)
 
     async def _send_once(
         self,
-        visit: Visit,
+        context: RequestContext,
         upstream: Upstream,
         relay: Relay,
     ) -> Ending:
-        repeatable = visit.admitted.route.repeatable
-        idle_s = (
+        repeatable = context.admitted.route.repeatable
+        max_idle_s = (
             _MAX_IDLE_REPEATABLE_S if repeatable else _MAX_IDLE_NON_REPEATABLE_S
         )
-        conn = await self._conns.take(upstream, idle_s)
+        conn = await self._conns.acquire(upstream, max_idle_s)
         try:
-            await self._write_request(visit, upstream, relay, conn)
-            ending = await self._await_answer(visit, relay)
+            await self._write_request(context, upstream, relay, conn)
+            ending = await self._await_answer(context, relay)
         finally:
-            visit.exchange.on_writable = None
-            self._conns.give_back(upstream, conn)
+            context.exchange.on_writable = None
+            self._conns.release(upstream, conn)
         if ending in _SAFE_TO_RESEND:
-            visit.may_have_run -= 1
+            context.may_have_run -= 1
         return ending
 
     async def _write_request(
         self,
-        visit: Visit,
+        context: RequestContext,
         upstream: Upstream,
         relay: Relay,
         conn: ClientConnection,
@@ -242,25 +246,27 @@
         started to leave or asked for a backoff, and the API key may have been
         revoked.
         """
-        visit.permit = await self._guard.permit(visit.content)
+        context.permit = await self._guard.request_permit(context.content)
         now = self._loop.time()
         if not self._scheduler.is_usable(upstream):
             conn.close()
             raise NotSentError('the upstream takes no new requests')
-        if self.rests.rests(upstream.incarnation, now):
+        if self.backoffs.rests(upstream.incarnation, now):
             raise BackoffError('the upstream asked for a backoff')
-        if not self._gate.still_holds(visit.admitted, now):
+        if not self._gate.still_holds(context.admitted, now):
             refusal = Refusal.of(Reason.state_not_confirmed, retry_after=1)
             raise RefusedError(refusal)
         relay.bind(conn)
         conn.send(
-            self._encode_request(visit, upstream),
+            self._encode_request(context, upstream),
             relay,
-            visit.call.request_id,
+            context.call.request_id,
         )
-        visit.may_have_run += 1
+        context.may_have_run += 1
 
-    async def _await_answer(self, visit: Visit, relay: Relay) -> Ending:
+    async def _await_answer(
+        self, context: RequestContext, relay: Relay
+    ) -> Ending:
         """Wait for the end of an answer, or until it is overdue to begin.
 
         An upstream may hang, or lose the answer of a request that it ran. A
@@ -271,61 +277,63 @@
         read an answer and find the timer expired. What counts is therefore
         whether the answer has begun, not whether the timer expired.
         """
-        if not self._may_abandon_silent(visit):
+        if not self._may_abandon_silent(context):
             return await relay.done
         try:
-            async with asyncio.timeout(self._silence_timeout_s(visit)):
+            async with asyncio.timeout(self._silence_timeout_s(context)):
                 await relay.begun.wait()
         except TimeoutError:
             silent = not relay.begun.is_set()
-            if silent and self._spend_retry_budget(visit):
-                visit.retry_charged = True
+            if silent and self._spend_retry_budget(context):
+                context.retry_charged = True
                 return Ending.unknown
         return await relay.done
 
-    def _may_abandon_silent(self, visit: Visit) -> bool:
+    def _may_abandon_silent(self, context: RequestContext) -> bool:
         """Return whether a send may be abandoned if no answer begins.
 
         If requests have to wait for slots, a missing answer is more likely
         caused by load than by a fault.
         """
-        route = visit.admitted.route
+        route = context.admitted.route
         if not route.repeatable:
             return False
-        if visit.may_have_run >= route.attempts:
+        if context.may_have_run >= route.attempts:
             return False
-        return visit.waited_s <= _OVERLOAD_WAIT_S
+        return context.waited_s <= _OVERLOAD_WAIT_S
 
-    def _silence_timeout_s(self, visit: Visit) -> float:
-        objective_s = visit.admitted.route.objective_s
-        prefill_s = visit.call.prompt_tokens * _PREFILL_S_PER_TOKEN
+    def _silence_timeout_s(self, context: RequestContext) -> float:
+        objective_s = context.admitted.route.objective_s
+        prefill_s = context.call.prompt_tokens * _PREFILL_S_PER_TOKEN
         return _SILENCE_FRACTION * objective_s + prefill_s
 
-    def _encode_request(self, visit: Visit, upstream: Upstream) -> bytes:
-        exchange = visit.exchange
-        workspace = visit.admitted.workspace
-        resumes = visit.last_event != visit.call.last_event
-        info = SendInfo(
-            visit.end_at - self._loop.time(),
+    def _encode_request(
+        self, context: RequestContext, upstream: Upstream
+    ) -> bytes:
+        exchange = context.exchange
+        workspace = context.admitted.workspace
+        resumes = context.last_event != context.call.last_event
+        info = UpstreamRequestInfo(
+            context.end_at - self._loop.time(),
             upstream.name,
             None if workspace is None else workspace.name,
-            visit.last_event if resumes else None,
+            context.last_event if resumes else None,
         )
         head = exchange.head
-        headers = self._dialect.upstream_headers(
+        headers = self._codec.upstream_headers(
             head,
             len(exchange.body),
             info,
         )
         line = b'%b %b HTTP/1.1' % (head.method, head.target)
-        return head_bytes(line, headers) + exchange.body
+        return encode_head(line, headers) + exchange.body
 
-    def _spend_retry_budget(self, visit: Visit) -> bool:
-        if visit.retry_charged:
-            visit.retry_charged = False
+    def _spend_retry_budget(self, context: RequestContext) -> bool:
+        if context.retry_charged:
+            context.retry_charged = False
             return True
-        service = visit.admitted.service
+        service = context.admitted.service
         allowed = self._gate.may_repeat(service, self._loop.time())
         if not allowed:
-            self._log.budget_binds(visit)
+            self._log.budget_binds(context)
         return allowed
--- a/packages/edge/src/tallyhall_edge/server.py
+++ b/packages/edge/src/tallyhall_edge/server.py
@@ -20,16 +20,16 @@
 
     def __init__(
         self,
-        respond: RequestHandler,
-        failed: Callable[[Exception], None],
+        handle_request: RequestHandler,
+        on_error: Callable[[Exception], None],
         limits: ServerLimits,
         max_connections: int = _MAX_CONNECTIONS,
     ) -> None:
-        """Handle requests with `respond`, and its exceptions with `failed`."""
+        """Pass requests to `handle_request`, its exceptions to `on_error`."""
         self.max_connections = max_connections
-        self.turned_away = 0
-        self.respond = respond
-        self.failed = failed
+        self.rejected_connections = 0
+        self.handle_request = handle_request
+        self.on_error = on_error
         self.limits = limits
         self.stopping = False
         self._conns: set[ServerConnection] = set()
@@ -52,11 +52,11 @@
         return len(self._conns)
 
     @property
-    def busy(self) -> int:
+    def busy_connections(self) -> int:
         """Return the number of connections that handle a request."""
         return sum(conn.busy for conn in self._conns)
 
-    def stop_keeping(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close each connection after its current request."""
         self.stopping = True
 
@@ -79,7 +79,7 @@
     def add(self, conn: ServerConnection) -> bool:
         """Register a connection; return False if there are too many."""
         if len(self._conns) >= self.max_connections:
-            self.turned_away += 1
+            self.rejected_connections += 1
             return False
         self._conns.add(conn)
         return True
--- a/packages/edge/src/tallyhall_edge/stopping.py
+++ b/packages/edge/src/tallyhall_edge/stopping.py
@@ -16,7 +16,7 @@
 _RETRY_MARGIN_S = 0.1
 
 
-class Stop(msgspec.Struct, frozen=True):
+class StopSchedule(msgspec.Struct, frozen=True):
     """The schedule of a stopping instance, on the clock of the event loop.
 
     refuses_at: when it starts to refuse requests that may outlast its end; at
@@ -40,7 +40,7 @@
         """
         return self.ends_at - _RETRY_MARGIN_S
 
-    def refuses(self, now: float) -> bool:
+    def is_refusing(self, now: float) -> bool:
         """Return whether requests that may outlast the end are refused."""
         return now >= min(self.refuses_at, self.first_send_deadline)
 
--- a/packages/edge/src/tallyhall_edge/telemetry.py
+++ b/packages/edge/src/tallyhall_edge/telemetry.py
@@ -13,5 +13,7 @@
     def event(self, event: Event, **fields: object) -> None:
         """Log an event."""
 
-    def ended(self, outcome: str, total_s: float, route_kind: str) -> None:
+    def record_request_end(
+        self, outcome: str, total_s: float, route_kind: str
+    ) -> None:
         """Record the outcome and duration of a request."""
--- a/packages/edge/src/tallyhall_edge/ends.py
+++ b/packages/edge/src/tallyhall_edge/termination.py
@@ -28,7 +28,7 @@
 EndCallback = Callable[[Upstream, tuple[EndedRun, ...]], None]
 
 
-class EndProbe:
+class TerminationProbe:
     """Probes upstreams whose connections were lost during requests."""
 
     def __init__(self, on_end: EndCallback) -> None:
@@ -38,7 +38,7 @@
         self._lost: dict[str, list[EndedRun]] = {}
         self._probes: dict[str, asyncio.Task[None]] = {}
 
-    def lost(self, upstream: Upstream, run: EndedRun) -> None:
+    def record_connection_lost(self, upstream: Upstream, run: EndedRun) -> None:
         """Record a run whose connection was lost and probe its upstream."""
         incarnation = upstream.incarnation
         self._lost.setdefault(incarnation, []).append(run)
@@ -47,7 +47,7 @@
         probe = asyncio.create_task(self._probe(upstream))
         self._probes[incarnation] = probe
 
-    async def settle(self, content: str) -> None:
+    async def wait_for_probes(self, content: str) -> None:
         """Wait for the probes of all upstreams that ran this content."""
         probes = [
             self._probes[incarnation]
--- a/packages/entry/src/tallyhall_entry/cluster_state.py
+++ b/packages/entry/src/tallyhall_entry/cluster_state.py
@@ -54,13 +54,13 @@
     def on_state(self, state: DesiredState) -> None:
         """Apply a newer desired state."""
         self._gate.take_state(state)
-        self._dispatcher.take_state(state)
+        self._dispatcher.apply_state(state)
         limits = state.limits
         self._front.limits = ServerLimits(
-            header_bytes=limits.header_bytes,
-            body_bytes=limits.body_bytes,
-            header_s=limits.header_s,
-            idle_s=limits.idle_s,
+            max_header_bytes=limits.header_bytes,
+            max_body_bytes=limits.body_bytes,
+            header_timeout_s=limits.header_s,
+            idle_timeout_s=limits.idle_s,
         )
         self._metrics.state_version = state.version
         self._log.event(
@@ -75,7 +75,7 @@
         self._close_connections(upstreams)
         self._log_upstream_changes(frozenset(upstreams))
         self.upstreams = frozenset(upstreams)
-        self._dispatcher.take_upstreams(upstreams)
+        self._dispatcher.apply_upstreams(upstreams)
 
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
         """Apply the complete list of registered instances."""
@@ -125,9 +125,9 @@
         starts = {one.name: one.started_ms for one in upstreams}
         for known in self.upstreams:
             if starts.get(known.name, 0) > known.started_ms:
-                self._conns.end(known.incarnation)
+                self._conns.fail_all(known.incarnation)
             elif known.incarnation not in usable:
-                self._conns.drop(known.incarnation)
+                self._conns.close_idle(known.incarnation)
 
     def _count_fleet(self) -> FleetCount:
         heard = {
--- a/packages/entry/src/tallyhall_entry/guard.py
+++ b/packages/entry/src/tallyhall_entry/guard.py
@@ -24,8 +24,8 @@
     Verdict,
 )
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_edge.ends import EndProbe
-from tallyhall_edge.guard import Permit, given_up_error
+from tallyhall_edge.guard import Permit, quarantined_error
+from tallyhall_edge.termination import TerminationProbe
 from tallyhall_platform.ends import EndRecorder, EndRecords
 from tallyhall_platform.errors import StoreError
 from tallyhall_platform.store import StoreClient
@@ -70,7 +70,7 @@
         self._wall_clock = wall_clock
         self._loop = asyncio.get_running_loop()
         self._suspects = Suspects()
-        self._probe = EndProbe(self._on_end)
+        self._probe = TerminationProbe(self._on_end)
         # Store leases of the trials that run on this instance, by content.
         self._trials: dict[str, int] = {}
         # Time until which no trial is claimed, as one may run elsewhere.
@@ -92,9 +92,9 @@
         """
         return self._standing(content).ends
 
-    async def permit(self, content: str) -> Permit:
+    async def request_permit(self, content: str) -> Permit:
         """Permit one run of a request, or raise RefusedError."""
-        await self._probe.settle(content)
+        await self._probe.wait_for_probes(content)
         standing = self._standing(content)
         if standing.verdict is Verdict.free:
             return Permit(standing.ends)
@@ -113,9 +113,13 @@
             self._recorder.cleared(cleared)
         self._log.event(Event.suspected, content=content, ends=0, by='own')
 
-    def lost(self, content: str, permit: Permit, upstream: Upstream) -> None:
+    def record_connection_lost(
+        self, content: str, permit: Permit, upstream: Upstream
+    ) -> None:
         """Record that the connection on which a request ran was closed."""
-        self._probe.lost(upstream, EndedRun(content, permit.ends + 1))
+        self._probe.record_connection_lost(
+            upstream, EndedRun(content, permit.ends + 1)
+        )
 
     def release(self, content: str) -> None:
         """Release the claim on a finished trial."""
@@ -152,9 +156,9 @@
     def _standing(self, content: str) -> Standing:
         standing = self._suspects.standing(content, self._wall_clock())
         if standing.verdict is Verdict.given_up:
-            raise given_up_error(content, standing.wait_s)
+            raise quarantined_error(content, standing.wait_s)
         if standing.verdict is Verdict.trial and self._is_claimed(content):
-            raise given_up_error(content, _TRIAL_RETRY_S)
+            raise quarantined_error(content, _TRIAL_RETRY_S)
         return standing
 
     def _is_claimed(self, content: str) -> bool:
@@ -176,15 +180,15 @@
             lease = await self._recorder.claim(content)
         except (StoreError, TimeoutError) as exc:
             self._log.event(Event.store_call_failed, cause=repr(exc))
-            raise given_up_error(content, _TRIAL_RETRY_S) from exc
+            raise quarantined_error(content, _TRIAL_RETRY_S) from exc
         if lease is None:
-            raise given_up_error(content, _TRIAL_RETRY_S)
+            raise quarantined_error(content, _TRIAL_RETRY_S)
         self._claimed_until.pop(content, None)
         self._trials[content] = lease
 
     async def _release(self, content: str) -> None:
         # The next trial must know the result of this one.
-        await self._probe.settle(content)
+        await self._probe.wait_for_probes(content)
         lease = self._trials.pop(content, None)
         if lease is not None:
             await self._recorder.release(lease)
--- a/packages/entry/src/tallyhall_entry/instance.py
+++ b/packages/entry/src/tallyhall_entry/instance.py
@@ -20,10 +20,10 @@
 from tallyhall_dispatch.quota_limits import Fleet
 from tallyhall_edge.caller_connection import ServerLimits
 from tallyhall_edge.connections import ConnectionPool
-from tallyhall_edge.runner import Runner
+from tallyhall_edge.runner import RequestPipeline
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_edge.server import HttpServer
-from tallyhall_edge.stopping import Stop
+from tallyhall_edge.stopping import StopSchedule
 from tallyhall_platform.absence import Absence
 from tallyhall_platform.calls import CallCounts
 from tallyhall_platform.dialect import PlatformDialect
@@ -224,7 +224,7 @@
             self._gate.quotas,
             self._update_peer_knowledge,
         )
-        self._runner.ask_use = self._usage_exchange.ask
+        self._runner.refresh_quota_use = self._usage_exchange.ask
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
 
@@ -274,9 +274,14 @@
         leaving = asyncio.create_task(self._registration.leave(grace_s))
         ends_at = began_at + grace_s - _STOP_MARGIN_S
         left_at = began_at + _MAX_LOCATE_LIFETIMES * LOCATE_CACHE_S
-        self._runner.begin_stop(Stop(left_at - _MAX_REQUEST_DELAY_S, ends_at))
+        self._runner.begin_stop(
+            StopSchedule(left_at - _MAX_REQUEST_DELAY_S, ends_at)
+        )
         while self._loop.time() < ends_at:
-            if self._loop.time() >= left_at and not self._front.busy:
+            if (
+                self._loop.time() >= left_at
+                and not self._front.busy_connections
+            ):
                 break
             await asyncio.sleep(_STOP_POLL_S)
         leaving.cancel()
@@ -286,7 +291,7 @@
         # Last, so that no peer counts this instance without hearing from it.
         await self._registration.end(_LEASE_REVOKE_TIMEOUT_S)
         self._reports.log_calls()
-        self.log.event(Event.stopped, unfinished=self._front.busy)
+        self.log.event(Event.stopped, unfinished=self._front.busy_connections)
 
     def reload(self, options: Options) -> None:
         """Apply those changed settings that need no restart."""
@@ -406,12 +411,12 @@
         self._scheduler.leaving = True
         self._peer_reports.leaving = True
         self._endpoints.leaving = True
-        self.log.event(Event.stopping, busy=self._front.busy)
-        self._front.stop_keeping()
+        self.log.event(Event.stopping, busy=self._front.busy_connections)
+        self._front.disable_keep_alive()
         self._tasks['registration'].cancel()
 
-    def _new_runner(self) -> Runner:
-        return Runner(
+    def _new_runner(self) -> RequestPipeline:
+        return RequestPipeline(
             self._gate,
             self._scheduler,
             self._conns,
@@ -477,5 +482,5 @@
     async def _run_maintenance(self) -> None:
         while True:
             await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
-            self._conns.close_old()
+            self._conns.close_expired()
             self._reports.look(self._gate, self._front, self._dispatcher)
--- a/packages/entry/src/tallyhall_entry/job_messages.py
+++ b/packages/entry/src/tallyhall_entry/job_messages.py
@@ -15,14 +15,14 @@
 
 
 class PeerOrigin:
-    """Forwards scheduling decisions to the peer that asked; an `Origin`."""
+    """Forwards scheduling decisions to the peer that asked; a `JobListener`."""
 
     def __init__(self, links: PeerLinks, peer: str) -> None:
         """Forward decisions to this peer."""
         self._links = links
         self._peer = peer
 
-    def granted(self, granted: Granted) -> None:
+    def on_granted(self, granted: Granted) -> None:
         """Tell the peer that a job may be sent to an upstream."""
         batch = self._links.outgoing(self._peer, urgent=True)
         if batch is not None:
@@ -32,7 +32,7 @@
                 forecast_ms=int(granted.forecast_s * _MILLI),
             )
 
-    def given_up(self, given_up: GivenUp) -> None:
+    def on_rejected(self, given_up: GivenUp) -> None:
         """Tell the peer that a job cannot meet its deadline."""
         batch = self._links.outgoing(self._peer, urgent=True)
         if batch is not None:
--- a/packages/entry/src/tallyhall_entry/owners.py
+++ b/packages/entry/src/tallyhall_entry/owners.py
@@ -55,7 +55,7 @@
 
     def usable(self, service: str) -> str | None:
         """Return the owner to ask, None if this instance decides itself."""
-        if not self._dispatcher.is_shared(service):
+        if not self._dispatcher.has_owner(service):
             return None
         for owner in self.ownership.owners(service):
             if owner == self._name:
@@ -88,7 +88,7 @@
 
         The caller checks that none of them responds.
         """
-        if not self._dispatcher.is_shared(service):
+        if not self._dispatcher.has_owner(service):
             return False
         owners = self.ownership.owners(service)
         return bool(owners) and self._name not in owners
--- a/packages/entry/src/tallyhall_entry/reports.py
+++ b/packages/entry/src/tallyhall_entry/reports.py
@@ -79,11 +79,11 @@
         self._log.report_dropped()
         metrics = self._metrics
         metrics.connections = front.open_connections
-        metrics.turned_away = front.turned_away
+        metrics.turned_away = front.rejected_connections
         metrics.waiting = dispatcher.waiting
         metrics.limited_upstreams = sum(
             dispatcher.upstream(incarnation) is not None
-            for incarnation in dispatcher.named_limits.current
+            for incarnation in dispatcher.announced_limits.current
         )
         age = gate.freshness.age(now)
         if age is not None:
--- a/packages/entry/src/tallyhall_entry/rollouts.py
+++ b/packages/entry/src/tallyhall_entry/rollouts.py
@@ -130,7 +130,7 @@
 
     def look(self) -> None:
         """Start leading rollouts of services that this instance owns."""
-        self._dispatcher.look_at_versions()
+        self._dispatcher.check_versions()
         for service, known in self._known.items():
             if known.running is None or service in self._leading:
                 continue
@@ -150,11 +150,11 @@
     # -- internal
 
     def _notify_dispatcher(self, service: str, known: _ServiceRollout) -> None:
-        self._dispatcher.take_rollout(service, known.order, known.status)
+        self._dispatcher.apply_rollout(service, known.order, known.status)
 
     def _on_lead_done(self, service: str, task: asyncio.Task[None]) -> None:
         self._leading.pop(service, None)
-        self._dispatcher.lead(service, None)
+        self._dispatcher.set_led_rollout(service, None)
         if task.cancelled():
             return
         exc = task.exception()
@@ -235,9 +235,9 @@
         stored = await self._take_over(service, rollout, stored)
         while self._is_led_here(service, known, order.revision):
             now = self._loop.time()
-            verdict = rollout.verdict(now, *self._dispatcher.places(service))
+            verdict = rollout.verdict(now, *self._dispatcher.slots(service))
             # The service may have been added to the desired state meanwhile.
-            self._dispatcher.lead(service, rollout)
+            self._dispatcher.set_led_rollout(service, rollout)
             if verdict is not None:
                 await self._finish(service, known, rollout, stored, verdict)
                 return
@@ -344,7 +344,7 @@
         stored: StoredRollout,
     ) -> None:
         """Release the rollout so that the next owner can take over at once."""
-        self._dispatcher.lead(service, None)
+        self._dispatcher.set_led_rollout(service, None)
         now = self._loop.time()
         record = rollout.next_record('', now, time.time())
         await self._store.write(service, record, stored)
--- a/packages/entry/src/tallyhall_entry/shared.py
+++ b/packages/entry/src/tallyhall_entry/shared.py
@@ -24,7 +24,7 @@
 from tallyhall_dispatch.jobs import Ending, Grant, Job, RunReport
 from tallyhall_dispatch.pool import Granted
 from tallyhall_dispatch.refusing import GivenUp
-from tallyhall_edge.scheduling import Dispatcher, GivenUpError
+from tallyhall_edge.scheduling import Dispatcher, JobRejectedError
 from tallyhall_transport.peer import Peer
 from tallyhall_transport.peer_codec import (
     decode_done,
@@ -100,7 +100,7 @@
         self._alone: dict[str, set[str]] = collections.defaultdict(set)
         self._neighbours = Neighbours(name, links)
         self._messages = JobMessages(links)
-        self.upstream_news = UpstreamAnnouncements(dispatcher, links, log)
+        self.upstream_listener = UpstreamAnnouncements(dispatcher, links, log)
         self._known = PeerKnowledge()
 
     @property
@@ -133,13 +133,13 @@
         """Return whether an upstream still accepts new requests."""
         return self._dispatcher.is_usable(upstream.incarnation)
 
-    def first_byte(self, job: Job) -> None:
+    def record_first_byte(self, job: Job) -> None:
         """Record that the response to a job has begun."""
         ticket = self._tickets.get(job.key)
         if ticket is None:
             return
         ticket.begun = True
-        self._dispatcher.first_byte(job.key, job.service)
+        self._dispatcher.record_first_byte(job.key, job.service)
         for peer in ticket.informed:
             self._messages.begun(peer, job.key)
 
@@ -154,9 +154,11 @@
         for peer in ticket.informed:
             self._messages.done(peer, job.key, job.service, incarnation, report)
 
-    def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
+    def backoff_ends_in_s(
+        self, service: str, backoffs: Mapping[str, float]
+    ) -> float:
         """Return how long all upstreams are paused, 0 if one is not."""
-        return self._dispatcher.opens_in_s(service, resting)
+        return self._dispatcher.backoff_ends_in_s(service, backoffs)
 
     # -- peer callbacks
 
@@ -164,7 +166,7 @@
         """Reset what a peer was told when a new stream to it opens."""
         for ticket in self._tickets.values():
             ticket.informed.discard(peer.name)
-        self.upstream_news.on_opened(peer)
+        self.upstream_listener.on_opened(peer)
 
     def on_batch(self, peer: Peer, batch: peers_pb2.Batch) -> None:
         """Process the job messages of a peer."""
@@ -174,15 +176,15 @@
         if restarted or batch.opened:
             self._dispatcher.drop_jobs(f'{name}/')
         self._dropped.discard(name)
-        self.upstream_news.take(peer, batch)
+        self.upstream_listener.take(peer, batch)
         now = self._loop.time()
         for running in batch.running:
             job = decode_job(running.job, now)
-            self._dispatcher.note_running(job, running.upstream)
+            self._dispatcher.add_running(job, running.upstream)
             if running.begun:
-                self._dispatcher.first_byte(job.key, job.service)
+                self._dispatcher.record_first_byte(job.key, job.service)
         for key in batch.begun:
-            self._dispatcher.first_byte_of(key)
+            self._dispatcher.record_first_byte_of(key)
         for done in batch.done:
             self._dispatcher.finish(
                 done.key,
@@ -194,14 +196,14 @@
         # also hold the withdrawal of its earlier ask, or the refusal of a grant
         # that crossed that withdrawal.
         for key in batch.withdrawn:
-            self._dispatcher.withdraw(key)
+            self._dispatcher.cancel(key)
         for ask in batch.asks:
             self._handle_ask(name, decode_job(ask, now))
         self._handle_answers(name, batch)
 
-    # -- an `Origin`, for jobs that this instance decides itself
+    # -- a `JobListener`, for jobs that this instance decides itself
 
-    def granted(self, granted: Granted) -> None:
+    def on_granted(self, granted: Granted) -> None:
         """Complete a job's wait with an upstream and a response forecast."""
         ticket = self._tickets.get(granted.key)
         upstream = granted.upstream
@@ -219,12 +221,12 @@
         ticket.forecast_s = granted.forecast_s
         ticket.fut.set_result(upstream)
 
-    def given_up(self, given_up: GivenUp) -> None:
+    def on_rejected(self, given_up: GivenUp) -> None:
         """Fail a job's wait as it cannot meet its deadline."""
         ticket = self._tickets.get(given_up.key)
         if ticket is not None and not ticket.fut.done():
             _stop_timer(ticket)
-            ticket.fut.set_exception(GivenUpError(given_up))
+            ticket.fut.set_exception(JobRejectedError(given_up))
 
     def tick(self) -> None:
         """Update the live peers, and move jobs to the current owners."""
@@ -237,7 +239,7 @@
     def take_share(self, share: float) -> None:
         """Use at most this fraction of the slots of model engines."""
         self._owners.share = share
-        self._dispatcher.take_share(share)
+        self._dispatcher.apply_slot_share(share)
 
     def look(self) -> None:
         """Update which peers are live and know what was admitted here."""
@@ -261,7 +263,7 @@
     # -- implementation
 
     def _update_limit_shares(self) -> None:
-        self._dispatcher.take_limit_parts(
+        self._dispatcher.apply_limit_shares(
             {
                 service: self._owners.limit_share(service)
                 for service in self._dispatcher.limited_services
@@ -283,7 +285,7 @@
             peer,
             PeerOrigin(self._links, peer),
         )
-        self._dispatcher.ask(job, origin)
+        self._dispatcher.submit(job, origin)
         if self._dispatcher.is_waiting(job.key):
             self._messages.queued(peer, job.key)
 
@@ -297,7 +299,7 @@
         for give_up in batch.give_ups:
             ticket = self._tickets.get(give_up.key)
             if ticket is not None and ticket.owner == peer:
-                self.given_up(decode_give_up(give_up))
+                self.on_rejected(decode_give_up(give_up))
 
     def _handle_grant(self, peer: str, grant: peers_pb2.Grant) -> None:
         key = grant.key
@@ -313,15 +315,15 @@
             self._decide_locally(ticket)
             return
         ticket.informed.add(peer)
-        self._dispatcher.note_running(ticket.job, incarnation)
-        self.granted(Granted(key, upstream, grant.forecast_ms / _MILLI))
+        self._dispatcher.add_running(ticket.job, incarnation)
+        self.on_granted(Granted(key, upstream, grant.forecast_ms / _MILLI))
 
     def _refuse_grant(self, peer: str, key: str, incarnation: str) -> None:
         service = self._dispatcher.service_of(incarnation)
         report = RunReport(Ending.left, 0)
         self._messages.done(peer, key, service, incarnation, report)
         # An earlier notice may have been lost with its stream.
-        self.upstream_news.resend_leaving(peer, incarnation)
+        self.upstream_listener.resend_leaving(peer, incarnation)
 
     def _ask(self, ticket: _Ticket, owner: str | None) -> None:
         service = ticket.job.service
@@ -365,7 +367,7 @@
         job = ticket.job
         alone = self._alone[job.service]
         ticket.owner = None
-        ticket.held = not self._dispatcher.may_fill(
+        ticket.held = not self._dispatcher.may_use_slot(
             job.service,
             len(alone),
             self._links.instances,
@@ -379,7 +381,7 @@
         _stop_timer(ticket)
         ticket.held = False
         ticket.owner = None
-        self._dispatcher.ask(ticket.job, self)
+        self._dispatcher.submit(ticket.job, self)
 
     def _on_ask_timeout(self, ticket: _Ticket) -> None:
         owner = ticket.owner
@@ -401,7 +403,7 @@
             return
         self._tickets.pop(ticket.job.key, None)
         self._alone[ticket.job.service].discard(ticket.job.key)
-        self._dispatcher.withdraw(ticket.job.key)
+        self._dispatcher.cancel(ticket.job.key)
         self._send_withdrawal(ticket)
 
     def _reassign(self, ticket: _Ticket) -> None:
@@ -417,7 +419,7 @@
         if ticket.owner == owner and not ticket.held:
             return
         if ticket.owner is None:
-            self._dispatcher.withdraw(ticket.job.key)
+            self._dispatcher.cancel(ticket.job.key)
         else:
             self._send_withdrawal(ticket)
         _stop_timer(ticket)
--- a/packages/entry/src/tallyhall_entry/telemetry.py
+++ b/packages/entry/src/tallyhall_entry/telemetry.py
@@ -26,7 +26,9 @@
             self._count_send(fields)
         self._log.event(event, **fields)
 
-    def ended(self, outcome: str, total_s: float, route_kind: str) -> None:
+    def record_request_end(
+        self, outcome: str, total_s: float, route_kind: str
+    ) -> None:
         """Count a request that has ended."""
         self._metrics.ended(route_kind, outcome, total_s)
 
--- a/packages/entry/src/tallyhall_entry/upstream_news.py
+++ b/packages/entry/src/tallyhall_entry/upstream_news.py
@@ -48,13 +48,13 @@
 
     # -- from upstreams
 
-    def leaves(self, incarnation: str) -> None:
+    def on_leaving(self, incarnation: str) -> None:
         """Record that an upstream announced that it is leaving."""
-        if self._dispatcher.leaves(incarnation):
+        if self._dispatcher.mark_leaving(incarnation):
             self._log(Event.upstream_leaves, upstream=incarnation)
             self._broadcast_leaving(incarnation, _OWN_SOURCE)
 
-    def names_limit(
+    def on_limit_announced(
         self,
         incarnation: str,
         per_s: float | None,
@@ -64,7 +64,7 @@
 
         asked_at: time at which the request of this response was sent.
         """
-        known = self._dispatcher.named_limits
+        known = self._dispatcher.announced_limits
         if per_s is None and not known.is_taken_back(incarnation, asked_at):
             return
         word = NamedLimit(per_s, self._loop.time())
@@ -77,21 +77,21 @@
         batch = self._links.outgoing(peer.name, urgent=False)
         if batch is None:
             return
-        batch.leaving_upstreams.extend(self._dispatcher.said_to_leave)
-        for incarnation, word in self._dispatcher.named_limits.words():
+        batch.leaving_upstreams.extend(self._dispatcher.announced_leaving)
+        for incarnation, word in self._dispatcher.announced_limits.words():
             self._fill_limit(batch, incarnation, word)
 
     def take(self, peer: Peer, batch: peers_pb2.Batch) -> None:
         """Process announcements received from a peer."""
         for leaver in batch.leaving_upstreams:
-            if self._dispatcher.leaves(leaver) and self._links.tells_on:
+            if self._dispatcher.mark_leaving(leaver) and self._links.tells_on:
                 self._broadcast_leaving(leaver, peer.name)
         for message in batch.named_limits:
             self._handle_limit(peer.name, message)
 
     def resend_leaving(self, peer: str, incarnation: str) -> None:
         """Resend to a peer that an upstream is leaving, if that is known."""
-        if incarnation in self._dispatcher.leavers:
+        if incarnation in self._dispatcher.leaving_upstreams:
             batch = self._links.outgoing(peer, urgent=True)
             if batch is not None:
                 batch.leaving_upstreams.append(incarnation)
@@ -101,14 +101,16 @@
     def _handle_limit(self, peer: str, message: peers_pb2.NamedLimit) -> None:
         heard_at = self._loop.time() - message.heard_ms_ago / _MILLI
         word = NamedLimit(None if message.ended else message.per_s, heard_at)
-        if self._dispatcher.named_limits.contradicted(message.upstream, word):
+        if self._dispatcher.announced_limits.contradicted(
+            message.upstream, word
+        ):
             # Other peers may have accepted the outdated limit.
             self._broadcast_limit(message.upstream, _OWN_SOURCE)
             return
         self._apply_limit(message.upstream, word, peer)
 
     def _apply_limit(self, incarnation: str, word: NamedLimit, by: str) -> None:
-        if not self._dispatcher.named_limits.take(incarnation, word):
+        if not self._dispatcher.announced_limits.take(incarnation, word):
             return
         self._log(
             Event.limit_named,
@@ -156,7 +158,7 @@
         if batch is None:
             return
         for incarnation in incarnations:
-            word = self._dispatcher.named_limits.word(incarnation)
+            word = self._dispatcher.announced_limits.word(incarnation)
             if word is not None:
                 self._fill_limit(batch, incarnation, word)
 
--- a/packages/platform/src/tallyhall_platform/dialect.py
+++ b/packages/platform/src/tallyhall_platform/dialect.py
@@ -8,19 +8,19 @@
 
 from tallyhall_core.refusals import CATALOGUE, Refusal
 from tallyhall_edge.dialect import (
-    AnswerInfo,
-    BadCallError,
-    CallInfo,
-    OwnAnswer,
-    SendInfo,
+    InvalidHeaderError,
+    LocalResponse,
+    RequestInfo,
+    ResponseInfo,
+    UpstreamRequestInfo,
 )
 from tallyhall_edge.messages import (
     Headers,
     RequestHead,
     ResponseHead,
-    count,
-    find,
-    forwarded,
+    count_headers,
+    find_header,
+    forwardable_headers,
 )
 
 _REQUEST_ID = b'x-tallyhall-request-id'
@@ -87,20 +87,20 @@
 
     id_header = _REQUEST_ID
 
-    def call(self, head: RequestHead) -> CallInfo:
-        """Decode the headers of a request; raise BadCallError."""
+    def parse_request(self, head: RequestHead) -> RequestInfo:
+        """Decode the headers of a request; raise InvalidHeaderError."""
         headers = head.headers
-        if count(headers, b'host') != 1:
-            raise BadCallError('exactly one Host header is needed')
-        request_id = find(headers, _REQUEST_ID)
-        if not request_id or count(headers, _REQUEST_ID) != 1:
-            raise BadCallError('exactly one request id is needed')
+        if count_headers(headers, b'host') != 1:
+            raise InvalidHeaderError('exactly one Host header is needed')
+        request_id = find_header(headers, _REQUEST_ID)
+        if not request_id or count_headers(headers, _REQUEST_ID) != 1:
+            raise InvalidHeaderError('exactly one request id is needed')
         tokens = _numbers(headers, _TOKENS)
         if tokens and len(tokens) != 2:
-            raise BadCallError('two token counts are needed')
+            raise InvalidHeaderError('two token counts are needed')
         deadline = _numbers(headers, _DEADLINE)
         last_event = _numbers(headers, _LAST_EVENT)
-        return CallInfo(
+        return RequestInfo(
             request_id=request_id,
             host=_host(headers),
             key=_key(headers),
@@ -114,14 +114,14 @@
         self,
         head: RequestHead,
         body_size: int,
-        info: SendInfo,
+        info: UpstreamRequestInfo,
     ) -> Headers:
         """Return the headers of a request to an upstream."""
         without: tuple[bytes, ...] = OVERRIDDEN_HEADERS
         if info.last_event is not None:
             without = (*OVERRIDDEN_HEADERS, _LAST_EVENT)
-        headers = list(forwarded(head.headers, without))
-        left_ms = max(1, int(info.left_s * _MILLI))
+        headers = list(forwardable_headers(head.headers, without))
+        left_ms = max(1, int(info.remaining_s * _MILLI))
         headers.append((b'X-Tallyhall-Deadline-Ms', b'%d' % left_ms))
         headers.append(
             (b'X-Tallyhall-Expect-Instance', info.upstream.encode()),
@@ -134,30 +134,31 @@
             headers.append((b'Content-Length', b'%d' % body_size))
         return tuple(headers)
 
-    def answer(self, head: ResponseHead) -> AnswerInfo:
+    def parse_response(self, head: ResponseHead) -> ResponseInfo:
         """Decode the status and headers of an answer."""
-        media = find(head.headers, b'content-type') or b''
+        media = find_header(head.headers, b'content-type') or b''
         misplaced = head.status == _MISDIRECTED_REQUEST
         limit_per_s = _limit_per_s(head.headers)
-        return AnswerInfo(
-            proven=find(head.headers, _SIGNATURE) is not None,
+        return ResponseInfo(
+            is_signed=find_header(head.headers, _SIGNATURE) is not None,
             not_executed=(
-                misplaced or find(head.headers, _NOT_EXECUTED) is not None
+                misplaced
+                or find_header(head.headers, _NOT_EXECUTED) is not None
             ),
-            misplaced=misplaced,
+            is_misdirected=misplaced,
             streams=media.lower().startswith(b'text/event-stream'),
             # A misdirected request was answered by another upstream, whose
             # headers describe that one alone.
             leaving=not misplaced and _is_set(head.headers, _LEAVING),
-            rest_s=_retry_after_s(head),
+            backoff_s=_retry_after_s(head),
             limit_per_s=None if misplaced else limit_per_s,
-            unread=_unknown_headers(
+            unknown_headers=_unknown_headers(
                 head.headers,
                 has_limit=limit_per_s is not None,
             ),
         )
 
-    def refusal(self, refusal: Refusal) -> OwnAnswer:
+    def encode_refusal(self, refusal: Refusal) -> LocalResponse:
         """Encode a refusal in the platform's form."""
         entry = CATALOGUE[refusal.reason]
         headers = [(b'Content-Type', b'application/json')]
@@ -173,27 +174,27 @@
         }
         phrase = http.HTTPStatus(entry.status).phrase.encode()
         raw = json.dumps(body).encode()
-        return OwnAnswer(entry.status, phrase, tuple(headers), raw)
+        return LocalResponse(entry.status, phrase, tuple(headers), raw)
 
 
 def _host(headers: Headers) -> str:
-    text = (find(headers, b'host') or b'').decode('latin-1').lower()
+    text = (find_header(headers, b'host') or b'').decode('latin-1').lower()
     return text.partition(':')[0]
 
 
 def _key(headers: Headers) -> str:
-    text = (find(headers, _AUTHORIZATION) or b'').decode('latin-1')
+    text = (find_header(headers, _AUTHORIZATION) or b'').decode('latin-1')
     if text.lower().startswith(_SCHEME):
         return text[len(_SCHEME) :].strip()
     return ''
 
 
 def _is_set(headers: Headers, name: bytes) -> bool:
-    return find(headers, name) == b'1'
+    return find_header(headers, name) == b'1'
 
 
 def _retry_after_s(head: ResponseHead) -> float:
-    text = find(head.headers, _RETRY_AFTER)
+    text = find_header(head.headers, _RETRY_AFTER)
     if head.status != _SERVICE_UNAVAILABLE or text is None:
         return 0
     try:
@@ -205,7 +206,7 @@
 
 
 def _limit_per_s(headers: Headers) -> float | None:
-    text = find(headers, _LIMIT)
+    text = find_header(headers, _LIMIT)
     if text is None:
         return None
     try:
@@ -227,10 +228,10 @@
 
 
 def _numbers(headers: Headers, name: bytes) -> tuple[int, ...]:
-    text = find(headers, name)
+    text = find_header(headers, name)
     if text is None:
         return ()
     try:
         return tuple(max(0, int(part)) for part in text.split(b','))
     except ValueError as exc:
-        raise BadCallError(f'{name.decode()}: {text!r}') from exc
+        raise InvalidHeaderError(f'{name.decode()}: {text!r}') from exc
--- a/packages/platform/src/tallyhall_platform/store.py
+++ b/packages/platform/src/tallyhall_platform/store.py
@@ -16,10 +16,10 @@
 
 import msgspec
 from tallyhall_dispatch.options import Listening
+from tallyhall_edge.buffered import BufferedResponse, read_response
 from tallyhall_edge.client import ClientConnection
 from tallyhall_edge.errors import EdgeError
-from tallyhall_edge.messages import head_bytes
-from tallyhall_edge.whole import WholeAnswer, read_whole
+from tallyhall_edge.messages import encode_head
 
 from .calls import CallCause, CallCounts, CallKind, CallOutcome, StoreCall
 from .errors import (
@@ -291,7 +291,7 @@
         content: bytes,
         lease: int,
         expected: Mapping[str, int],
-    ) -> WholeAnswer:
+    ) -> BufferedResponse:
         """Write a key if all expected keys have the given revisions."""
         text = base64.b64encode(content).decode()
         body = {
@@ -317,7 +317,7 @@
         path: str,
         body: dict[str, Any] | None,
         wait_s: float = _CALL_TIMEOUT_S,
-    ) -> WholeAnswer:
+    ) -> BufferedResponse:
         raw = b'' if body is None else msgspec.json.encode(body)
         headers = (
             (b'Host', str(self._address).encode()),
@@ -329,7 +329,7 @@
             outcome = CallOutcome.lost
             try:
                 answer = await self._exchange(
-                    head_bytes(line, headers) + raw,
+                    encode_head(line, headers) + raw,
                     wait_s,
                 )
                 outcome = _outcome(kind, answer)
@@ -337,11 +337,11 @@
                 self._counts.note(StoreCall(kind, self.cause, outcome))
             return answer
 
-    async def _exchange(self, raw: bytes, wait_s: float) -> WholeAnswer:
+    async def _exchange(self, raw: bytes, wait_s: float) -> BufferedResponse:
         try:
             async with asyncio.timeout(wait_s):
                 conn = await self._connect()
-                answer = await read_whole(conn, raw)
+                answer = await read_response(conn, raw)
         except (EdgeError, TimeoutError) as exc:
             self.close()
             raise StoreUnavailableError(repr(exc)) from exc
@@ -366,7 +366,7 @@
         return conn
 
 
-def _outcome(kind: CallKind, answer: WholeAnswer) -> CallOutcome:
+def _outcome(kind: CallKind, answer: BufferedResponse) -> CallOutcome:
     if answer.status == _TOO_MANY_REQUESTS:
         return CallOutcome.limited
     if answer.status == _SERVICE_UNAVAILABLE:
@@ -376,7 +376,7 @@
     return CallOutcome.answered
 
 
-def _check_status(answer: WholeAnswer) -> None:
+def _check_status(answer: BufferedResponse) -> None:
     if answer.status == _TOO_MANY_REQUESTS:
         raise StoreLimitedError(f'status {answer.status}')
     if answer.status == _SERVICE_UNAVAILABLE:
@@ -385,7 +385,7 @@
         raise StoreUnavailableError(f'status {answer.status}')
 
 
-def _decode_answer(answer: WholeAnswer, model: type[_Model]) -> _Model:
+def _decode_answer(answer: BufferedResponse, model: type[_Model]) -> _Model:
     _check_status(answer)
     try:
         return parse_json(answer.body, model)
--- a/packages/standins/src/tallyhall_standins/platform_store.py
+++ b/packages/standins/src/tallyhall_standins/platform_store.py
@@ -88,7 +88,7 @@
         self._server = HttpServer(
             self._answer,
             _raise,
-            ServerLimits(idle_s=60),
+            ServerLimits(idle_timeout_s=60),
         )
 
     async def listen(self, host: str, port: int) -> None:
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -24,8 +24,13 @@
 )
 from tallyhall_dispatch.topology import is_mesh
 from tallyhall_edge.client import ClientConnection
-from tallyhall_edge.errors import BrokenError
-from tallyhall_edge.messages import Headers, ResponseHead, find, head_bytes
+from tallyhall_edge.errors import ConnectionFailedError
+from tallyhall_edge.messages import (
+    Headers,
+    ResponseHead,
+    encode_head,
+    find_header,
+)
 from tallyhall_entry.instance import Instance
 from tallyhall_entry.logs import BoundedStream, setup_logging
 from tallyhall_standins.platform_engine import EngineStandIn, entry_fields
@@ -127,7 +132,7 @@
     status: int
     headers: Headers
     body: bytes
-    error: BrokenError | None
+    error: ConnectionFailedError | None
 
     @property
     def whole(self) -> bool:
@@ -136,7 +141,7 @@
 
     def header(self, name: str) -> str:
         """Return the value of a header, or an empty string if absent."""
-        return (find(self.headers, name.encode()) or b'').decode()
+        return (find_header(self.headers, name.encode()) or b'').decode()
 
 
 class _ResponseCollector:
@@ -152,7 +157,7 @@
     def on_data(self, payload: bytes) -> None:
         self.parts.append(payload)
 
-    def on_end(self, exc: BrokenError | None) -> None:
+    def on_end(self, exc: ConnectionFailedError | None) -> None:
         head = self.head or ResponseHead(0, b'', ())
         answer = Answer(head.status, head.headers, b''.join(self.parts), exc)
         if not self.done.done():
@@ -204,7 +209,7 @@
         request_line = f'{method} {path} HTTP/1.1'.encode()
         self._collector = _ResponseCollector()
         self.conn.send(
-            head_bytes(request_line, tuple(headers)) + body,
+            encode_head(request_line, tuple(headers)) + body,
             self._collector,
             b'',
         )
--- a/tests/platform/limit_fleet.py
+++ b/tests/platform/limit_fleet.py
@@ -20,7 +20,7 @@
 from tallyhall_core.refusals import RefusedError
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.jobs import Ending, Job, RunReport
-from tallyhall_edge.scheduling import Dispatcher, GivenUpError
+from tallyhall_edge.scheduling import Dispatcher, JobRejectedError
 from tallyhall_entry.shared import SharedScheduler
 from tallyhall_platform.decode import decode_state
 from tallyhall_transport.generated import peers_pb2
@@ -264,7 +264,7 @@
         )
         try:
             grant = await node.scheduler.acquire(job)
-        except GivenUpError as exc:
+        except JobRejectedError as exc:
             self.refused.append(exc.refusal.retry_after or 0)
             return
         except RefusedError:
@@ -275,20 +275,22 @@
         engine.arrivals.append(asked_at)
         await asyncio.sleep(engine.run_s)
         self.served += 1
-        node.scheduler.upstream_news.names_limit(
+        node.scheduler.upstream_listener.on_limit_announced(
             engine.upstream.incarnation,
             engine.limit_per_s,
             asked_at,
         )
         if engine.leaving:
-            node.scheduler.upstream_news.leaves(engine.upstream.incarnation)
+            node.scheduler.upstream_listener.on_leaving(
+                engine.upstream.incarnation
+            )
         report = RunReport(Ending.answered, engine.run_s, engine.run_s, 2)
         node.scheduler.finish(job, grant.upstream, report)
 
     def _create_node(self, name: str) -> Node:
         dispatcher = Dispatcher(random.Random(self.rng.random()))
-        dispatcher.take_state(decode_state(json.dumps(desired(1)).encode()))
-        dispatcher.take_upstreams(
+        dispatcher.apply_state(decode_state(json.dumps(desired(1)).encode()))
+        dispatcher.apply_upstreams(
             tuple(engine.upstream for engine in self.engines.values()),
         )
         schedulers: list[SharedScheduler] = []
--- a/tests/platform/test_asks.py
+++ b/tests/platform/test_asks.py
@@ -48,7 +48,7 @@
     first, second = network.owners()[:2]
     taken = Job('x/1', MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
     for owner in (first, second):
-        network.dispatchers[owner].note_running(taken, 'u')
+        network.dispatchers[owner].add_running(taken, 'u')
     network.late_s[first] = 0.1
     asked = network.ask('a/1', due_s=5)
     await network.run(0.15)
@@ -71,7 +71,7 @@
     network = _Network(monkeypatch, ('a', *_OWNERS))
     first = network.owners()[0]
     taken = Job('x/1', MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
-    network.dispatchers[first].note_running(taken, 'u')
+    network.dispatchers[first].add_running(taken, 'u')
     asked = network.ask('a/1', due_s=5)
     asyncio.get_running_loop().call_soon(asked.cancel)
     await network.run(0.2)
@@ -107,7 +107,7 @@
     network = _Network(monkeypatch, ('a', *_OWNERS))
     network.lost.update(_OWNERS)
     taken = Job('x/1', MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
-    network.dispatchers['a'].note_running(taken, 'u')
+    network.dispatchers['a'].add_running(taken, 'u')
     asked = network.ask('a/1', due_s=5)
     await network.run(0.25)
     assert network.asks() == list(network.owners())
@@ -133,7 +133,7 @@
     network = _Network(monkeypatch, ('a', *_OWNERS))
     network.lost.update(_OWNERS)
     taken = Job('x/1', MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
-    network.dispatchers['a'].note_running(taken, 'u')
+    network.dispatchers['a'].add_running(taken, 'u')
     asked = network.ask('a/1', due_s=due_s)
     await network.run(0.25)
     assert len(network.asks()) == expected
@@ -266,7 +266,7 @@
 
 def _dispatcher() -> Dispatcher:
     dispatcher = Dispatcher(random.Random(1))
-    dispatcher.take_state(decode_state(json.dumps(desired(1)).encode()))
+    dispatcher.apply_state(decode_state(json.dumps(desired(1)).encode()))
     upstream = Upstream('u', MODEL, '127.0.0.1', 1, 'a', 1, leaving=False)
-    dispatcher.take_upstreams((upstream,))
+    dispatcher.apply_upstreams((upstream,))
     return dispatcher
--- a/tests/platform/test_decisions.py
+++ b/tests/platform/test_decisions.py
@@ -292,7 +292,7 @@
         rest = rest[cut:]
     assert [event.number for event in found] == numbers
     assert b''.join(event.raw for event in found) == raw
-    assert not splitter.held
+    assert not splitter.incomplete
 
 
 def test_non_numeric_event_id_is_rejected() -> None:
--- a/tests/platform/test_edge_server.py
+++ b/tests/platform/test_edge_server.py
@@ -14,11 +14,11 @@
 from tests.platform.harness import HOST, until
 
 _LIMITS = ServerLimits(
-    header_bytes=300,
-    body_bytes=100,
-    header_s=0.2,
-    body_s=0.2,
-    idle_s=0.3,
+    max_header_bytes=300,
+    max_body_bytes=100,
+    header_timeout_s=0.2,
+    body_timeout_s=0.2,
+    idle_timeout_s=0.3,
 )
 # Larger than the socket buffers of the kernel.
 _LARGE_BODY = bytes(16_000_000)
@@ -152,7 +152,7 @@
     opened = [
         await asyncio.open_connection(HOST, served.port) for _ in range(20)
     ]
-    await until(lambda: served.server.turned_away == 16)
+    await until(lambda: served.server.rejected_connections == 16)
     assert len(opened) == 20
     assert served.server.open_connections == 5
     writer.write(_post(b'one'))
@@ -178,14 +178,14 @@
     to send was not busy.
     """
     served = _EchoServer()
-    served.server.respond = _answer_large
-    served.server.stop_keeping()
+    served.server.handle_request = _answer_large
+    served.server.disable_keep_alive()
     reader, writer = await served.open()
     writer.write(_post(b'one'))
     await reader.readuntil(b'\r\n\r\n')
-    assert served.server.busy == 1
+    assert served.server.busy_connections == 1
     assert len(await reader.read(-1)) == len(_LARGE_BODY)
-    await until(lambda: not served.server.busy)
+    await until(lambda: not served.server.busy_connections)
     writer.close()
 
 
--- a/tests/platform/test_guard.py
+++ b/tests/platform/test_guard.py
@@ -96,15 +96,15 @@
         guards = [_guard(_recorder(address, name)) for name in 'ab']
         for guard in guards:
             guard.take_stored(_records(2))
-        first = await guards[0].permit('x')
+        first = await guards[0].request_permit('x')
         assert first.is_trial
         for guard in guards:
             with pytest.raises(RefusedError) as refused:
-                await guard.permit('x')
+                await guard.request_permit('x')
             assert refused.value.refusal.reason is Reason.quarantined
         guards[0].release('x')
         await asyncio.sleep(0.05)
-        assert (await guards[0].permit('x')).is_trial
+        assert (await guards[0].request_permit('x')).is_trial
 
 
 async def test_no_trial_runs_without_the_store() -> None:
@@ -113,7 +113,7 @@
         guard.take_stored(_records(2))
         store.fault = StoreFault.silent
         with pytest.raises(RefusedError):
-            await guard.permit('x')
+            await guard.request_permit('x')
 
 
 async def test_a_request_with_one_crash_needs_no_store() -> None:
@@ -121,7 +121,7 @@
         store.fault = StoreFault.silent
         guard = _guard(_recorder(address))
         guard.take_stored(_records(1))
-        permit = await guard.permit('x')
+        permit = await guard.request_permit('x')
         assert permit.ends == 1
         assert not permit.is_trial
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from tallyhall_edge.dialect import SendInfo
+from tallyhall_edge.dialect import UpstreamRequestInfo
 from tallyhall_edge.messages import Headers, RequestHead
 from tallyhall_platform.dialect import PlatformDialect
 
@@ -32,7 +32,7 @@
     'Accept',
 )
 _FORGED = b'as the caller sent it'
-_INFO = SendInfo(1.5, 'i-1', 'shop', None)
+_INFO = UpstreamRequestInfo(1.5, 'i-1', 'shop', None)
 
 
 def _spell(name: str, upper: list[bool], dash: str) -> bytes:
--- a/tests/platform/test_lateness.py
+++ b/tests/platform/test_lateness.py
@@ -12,7 +12,7 @@
 from tallyhall_dispatch.jobs import Grant
 from tallyhall_dispatch.refusing import GivenUp, Outlook
 from tallyhall_edge.lateness import lateness
-from tallyhall_edge.visit import Visit, note_send
+from tallyhall_edge.request_context import RequestContext, record_send
 from tallyhall_transport.generated import peers_pb2
 from tallyhall_transport.peer_codec import decode_give_up, fill_give_up
 
@@ -34,26 +34,30 @@
 )
 
 
-def _visit(begun_at: float | None, **fields: Any) -> Visit:
+def _context(begun_at: float | None, **fields: Any) -> RequestContext:
     exchange: Any = types.SimpleNamespace(started_at=begun_at, received_at=10)
     admitted: Any = types.SimpleNamespace(route=_ROUTE)
     call = cast('Any', None)
-    return Visit(exchange, call, admitted, 20, None, '', **fields)
+    return RequestContext(exchange, call, admitted, 20, None, '', **fields)
 
 
-def _sent(visit: Visit, waited_s: float, forecast_s: float, at: float) -> None:
-    note_send(visit, Grant(cast('Any', None), 'x', waited_s, forecast_s), at)
+def _sent(
+    context: RequestContext, waited_s: float, forecast_s: float, at: float
+) -> None:
+    record_send(
+        context, Grant(cast('Any', None), 'x', waited_s, forecast_s), at
+    )
 
 
 def test_response_that_started_in_time_is_not_late() -> None:
-    assert lateness(_visit(10 + _OBJECTIVE_S), 12) is None
+    assert lateness(_context(10 + _OBJECTIVE_S), 12) is None
 
 
 def test_parts_of_the_latency_add_up() -> None:
-    visit = _visit(11.5, since_first_s=0.4)
-    _sent(visit, 0.2, 0.1, 10.2)
-    _sent(visit, 0.3, 0.1, 11.0)
-    late = lateness(visit, 13)
+    context = _context(11.5, since_first_s=0.4)
+    _sent(context, 0.2, 0.1, 10.2)
+    _sent(context, 0.3, 0.1, 11.0)
+    late = lateness(context, 13)
     assert late is not None
     assert late.late_ms == 1400
     assert late.since_first_ms == 400
@@ -63,9 +67,9 @@
 
 
 def test_buffered_response_starts_when_it_ends() -> None:
-    visit = _visit(None)
-    _sent(visit, 0, 0.1, 10)
-    late = lateness(visit, 11)
+    context = _context(None)
+    _sent(context, 0, 0.1, 10)
+    late = lateness(context, 11)
     assert late is not None
     assert (late.late_ms, late.first_ms) == (500, 1000)
 
@@ -73,9 +77,9 @@
 @pytest.mark.parametrize('resumed', [False, True])
 def test_pause_alone_makes_a_response_late(*, resumed: bool) -> None:
     name = 'resumed_pause_s' if resumed else 'pause_s'
-    visit = _visit(10.1, **{name: 0.3})
-    _sent(visit, 0, 0.1, 10)
-    late = lateness(visit, 13)
+    context = _context(10.1, **{name: 0.3})
+    _sent(context, 0, 0.1, 10)
+    late = lateness(context, 13)
     assert late is not None
     assert (late.late_ms, late.pause_ms, late.pause_aim_ms) == (0, 300, 250)
     assert late.is_resumed is resumed
--- a/tests/platform/test_leavers.py
+++ b/tests/platform/test_leavers.py
@@ -39,9 +39,9 @@
 
 async def test_entries_do_not_revoke_an_announcement() -> None:
     dispatcher = Dispatcher(random.Random(1))
-    dispatcher.take_upstreams((_upstream('u'),))
+    dispatcher.apply_upstreams((_upstream('u'),))
     assert dispatcher.is_usable('u')
-    assert dispatcher.leaves('u')
+    assert dispatcher.mark_leaving('u')
     for entries in ((), (_upstream('u'),)):
-        dispatcher.take_upstreams(entries)
+        dispatcher.apply_upstreams(entries)
         assert not dispatcher.is_usable('u')
--- a/tests/platform/test_said.py
+++ b/tests/platform/test_said.py
@@ -16,11 +16,13 @@
 def test_a_response_of_any_status_may_announce_leaving() -> None:
     dialect = PlatformDialect()
     for status in (200, 404, 500, 503):
-        assert dialect.answer(_head(status, _LEAVING)).leaving
-    assert not dialect.answer(_head(200)).leaving
-    assert not dialect.answer(_head(200, (b'Server-Leaving', b'0'))).leaving
+        assert dialect.parse_response(_head(status, _LEAVING)).leaving
+    assert not dialect.parse_response(_head(200)).leaving
+    assert not dialect.parse_response(
+        _head(200, (b'Server-Leaving', b'0'))
+    ).leaving
     # 421: another upstream has taken over the address.
-    assert not dialect.answer(_head(421, _LEAVING)).leaving
+    assert not dialect.parse_response(_head(421, _LEAVING)).leaving
 
 
 @pytest.mark.parametrize(
@@ -42,13 +44,13 @@
     rest_s: float,
 ) -> None:
     head = _head(status, (b'Retry-After', text))
-    assert PlatformDialect().answer(head).rest_s == rest_s
+    assert PlatformDialect().parse_response(head).backoff_s == rest_s
 
 
 @given(st.binary(max_size=20))
 def test_a_backoff_is_bounded(text: bytes) -> None:
     head = _head(503, (b'Retry-After', text))
-    assert 0 <= PlatformDialect().answer(head).rest_s <= 600
+    assert 0 <= PlatformDialect().parse_response(head).backoff_s <= 600
 
 
 @pytest.mark.parametrize(
@@ -69,16 +71,18 @@
 ) -> None:
     dialect = PlatformDialect()
     for status in (200, 500, 503):
-        said = dialect.answer(_head(status, (b'Server-Limit', text)))
+        said = dialect.parse_response(_head(status, (b'Server-Limit', text)))
         assert said.limit_per_s == limit
-        assert said.unread == (('server-limit',) if limit is None else ())
+        assert said.unknown_headers == (
+            ('server-limit',) if limit is None else ()
+        )
     # 421: another upstream has taken over the address.
-    other = dialect.answer(_head(421, (b'Server-Limit', text)))
+    other = dialect.parse_response(_head(421, (b'Server-Limit', text)))
     assert other.limit_per_s is None
 
 
 def test_unknown_upstream_headers_are_reported() -> None:
-    said = PlatformDialect().answer(
+    said = PlatformDialect().parse_response(
         _head(
             200,
             _LEAVING,
@@ -88,4 +92,4 @@
             (b'Date', b'today'),
         ),
     )
-    assert said.unread == ('server-mood', 'x-tallyhall-news')
+    assert said.unknown_headers == ('server-mood', 'x-tallyhall-news')
--- a/tests/platform/test_shared.py
+++ b/tests/platform/test_shared.py
@@ -106,13 +106,13 @@
 
 async def test_jobs_of_a_lost_instance_are_removed() -> None:
     dispatcher = Dispatcher(random.Random(1))
-    dispatcher.take_state(decode_state(json.dumps(desired(1)).encode()))
+    dispatcher.apply_state(decode_state(json.dumps(desired(1)).encode()))
     upstream = Upstream('u', MODEL, '127.0.0.1', 1, 'a', 1, leaving=False)
-    dispatcher.take_upstreams((upstream,))
+    dispatcher.apply_upstreams((upstream,))
     recorder = _GrantRecorder()
     for key in ('lost/1', 'lost/2', 'live/1'):
         job = Job(key, MODEL, 'a', 0, 10, 10, 0, 1e9, 1e9)
-        dispatcher.ask(job, recorder)
+        dispatcher.submit(job, recorder)
     assert recorder.granted_keys == ['lost/1']
     assert dispatcher.waiting == 2
     dispatcher.drop_jobs('lost/')
@@ -125,8 +125,8 @@
     def __init__(self) -> None:
         self.granted_keys: list[str] = []
 
-    def granted(self, granted: Granted) -> None:
+    def on_granted(self, granted: Granted) -> None:
         self.granted_keys.append(granted.key)
 
-    def given_up(self, given_up: GivenUp) -> None:
+    def on_rejected(self, given_up: GivenUp) -> None:
         raise AssertionError(given_up)
--- a/tests/platform/test_shared_limits.py
+++ b/tests/platform/test_shared_limits.py
@@ -11,8 +11,8 @@
 
 from tests.platform.harness import MODEL, PLAIN
 from tests.platform.limit_fleet import (
-    RateLimitedEngine,
     LimitFleet,
+    RateLimitedEngine,
     simulate_time,
 )
 from tests.platform.windows import limit_allows
--- a/tests/platform/test_use_news.py
+++ b/tests/platform/test_use_news.py
@@ -98,7 +98,7 @@
             10,
         )
         entered = mock.Mock(
-            wraps=runner._enter,  # noqa: SLF001
+            wraps=runner._admit,  # noqa: SLF001
             side_effect=[
                 refused,
                 mock.DEFAULT,
@@ -110,8 +110,8 @@
         )
         asked = mock.AsyncMock(side_effect=[True, False, True])
         with (
-            mock.patch.object(runner, '_enter', entered),
-            mock.patch.object(runner, 'ask_use', asked),
+            mock.patch.object(runner, '_admit', entered),
+            mock.patch.object(runner, 'refresh_quota_use', asked),
         ):
             assert (await made.caller().ask('/safe/x', 'r1')).status == 200
             assert (await made.caller().ask('/safe/x', 'r2')).status == 429
