--- a/packages/daemon/src/tallyhall_daemon/command_explain.py
+++ b/packages/daemon/src/tallyhall_daemon/command_explain.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from cleo.helpers import argument
-from tallyhall_entry.explain import check_line, explain, shown
+from tallyhall_entry.explain import check_line, explain, format_line
 
 from .command_base import EXIT_FAILED, OperatorCommand
 from .errors import OperatorError
@@ -31,7 +31,7 @@
                 EXIT_FAILED,
             )
         for line in found.lines:
-            self.line(shown(line))
+            self.line(format_line(line))
         self.line(found.cause)
         return 0
 
--- a/packages/daemon/src/tallyhall_daemon/serve.py
+++ b/packages/daemon/src/tallyhall_daemon/serve.py
@@ -22,7 +22,7 @@
 from tallyhall_table.model import Table
 from tallyhall_transport.errors import TransportError
 from tallyhall_transport.sender import Sender
-from tallyhall_transport.server import Receiver, start_server
+from tallyhall_transport.server import MessageReceiver, start_server
 from waitress.server import create_server
 
 from .effects import DaemonEffects
@@ -134,7 +134,7 @@
         try:
             self._rpc = start_server(
                 cfg.instance.rpc,
-                Receiver(self._message, self._bad_message),
+                MessageReceiver(self._message, self._bad_message),
             )
             self._http = self._http_server()
         except (TransportError, OSError) as exc:
--- a/packages/entry/src/tallyhall_entry/cluster_state.py
+++ b/packages/entry/src/tallyhall_entry/cluster_state.py
@@ -14,8 +14,8 @@
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_edge.server import HttpServer
 from tallyhall_platform.entries import InstanceEntry
-from tallyhall_transport.peer import PeerPlace
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer import PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
 
 from .logs import EventLog
 from .metrics import Metrics
@@ -30,14 +30,14 @@
         gate: Gate,
         dispatcher: Dispatcher,
         conns: ConnectionPool,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         front: HttpServer,
         log: EventLog,
         metrics: Metrics,
     ) -> None:
         """Forward store updates to the given components."""
         self.entries: tuple[InstanceEntry, ...] = ()
-        self.confirmed_at = float('-inf')
+        self.complete_as_of = float('-inf')
         self.count = FleetCount()
         self.upstreams: frozenset[Upstream] = frozenset()
         self._membership = membership
@@ -45,7 +45,7 @@
         self._gate = gate
         self._dispatcher = dispatcher
         self._conns = conns
-        self._links = links
+        self._peer_streams = peer_streams
         self._front = front
         self._log = log
         self._metrics = metrics
@@ -105,16 +105,16 @@
             self.count = counted
             self._update_peers()
 
-    def on_use(self, use: Written) -> None:
+    def on_stored_use(self, use: Written) -> None:
         """Apply the fleet's quota usage that was stored before this run."""
         self._gate.quotas.recall(use, self._loop.time())
 
-    def on_confirmed(self, asked_at: float) -> None:
+    def on_state_confirmed(self, asked_at: float) -> None:
         """Record that the desired state was current at this time."""
-        self.confirmed_at = asked_at
+        self.complete_as_of = asked_at
         self._gate.freshness.confirm(asked_at)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_store_reachable(self, *, reachable: bool) -> None:
         """Record that the store became unreachable or reachable again."""
         self._metrics.store_up = int(reachable)
         event = Event.kv_up if reachable else Event.kv_down
@@ -131,7 +131,8 @@
 
     def _count_fleet(self) -> FleetCount:
         heard = {
-            peer.name: peer.heard_at for peer in self._links.peers.values()
+            peer.name: peer.last_heard_at
+            for peer in self._peer_streams.peers.values()
         }
         return self._membership.count(heard, self._loop.time())
 
@@ -141,9 +142,9 @@
         self._gate.instances = len(members)
         for gone in self._known.keys() - members:
             self._known.pop(gone)
-        self._links.take_peers(
+        self._peer_streams.update_peers(
             {
-                name: PeerPlace(
+                name: PeerEndpoint(
                     entry.peer,
                     entry.cores,
                     name in self.count.registered,
@@ -155,7 +156,7 @@
 
     def _reports_leaving(self, entry: InstanceEntry) -> bool:
         # A peer's own batches report this earlier than the store does.
-        peer = self._links.peers.get(entry.instance)
+        peer = self._peer_streams.peers.get(entry.instance)
         if peer is None or peer.incarnation != entry.incarnation:
             return False
         return peer.leaving
--- a/packages/entry/src/tallyhall_entry/endpoints.py
+++ b/packages/entry/src/tallyhall_entry/endpoints.py
@@ -6,7 +6,7 @@
 
 from tallyhall_dispatch.gate import Gate
 from tallyhall_edge.exchange import Exchange
-from tallyhall_platform.locate import encode_addresses
+from tallyhall_platform.locate import encode_locate_answer
 
 from .cluster_state import ClusterState
 from .locate import front_addresses
@@ -61,7 +61,7 @@
             leaving=self.leaving,
         )
         headers = ((b'Content-Type', b'application/json'),)
-        body = encode_addresses(addresses, LOCATE_CACHE_S)
+        body = encode_locate_answer(addresses, LOCATE_CACHE_S)
         exchange.answer(*_OK, headers, body)
 
     async def metrics(self, exchange: Exchange) -> None:
--- a/packages/entry/src/tallyhall_entry/explain.py
+++ b/packages/entry/src/tallyhall_entry/explain.py
@@ -134,7 +134,7 @@
     return None
 
 
-def shown(line: Line) -> str:
+def format_line(line: Line) -> str:
     """Format a line for operators."""
     omitted = {*_REQUIRED_FIELDS, 'number', 'request', 'taskName'}
     rest = ' '.join(
--- a/packages/entry/src/tallyhall_entry/guard.py
+++ b/packages/entry/src/tallyhall_entry/guard.py
@@ -26,11 +26,11 @@
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_edge.guard import Permit, quarantined_error
 from tallyhall_edge.termination import TerminationProbe
-from tallyhall_platform.ends import EndRecorder, EndRecords
+from tallyhall_platform.end_records import EndRecorder, EndRecords
 from tallyhall_platform.errors import StoreError
 from tallyhall_platform.store import StoreClient
 from tallyhall_transport.peer import Peer
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 from .logs import EventLog
 
@@ -55,16 +55,16 @@
 
     def __init__(
         self,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         recorder: EndRecorder,
         log: EventLog,
         wall_clock: Callable[[], float],
     ) -> None:
-        """Share through `links` and `recorder`.
+        """Share through `peer_streams` and `recorder`.
 
         wall_clock: returns the current Unix timestamp.
         """
-        self._links = links
+        self._peer_streams = peer_streams
         self._recorder = recorder
         self._log = log
         self._wall_clock = wall_clock
@@ -110,7 +110,7 @@
             return
         self._broadcast(EndRecords((), (cleared,)))
         if ends >= _MIN_RECORDED_ENDS:
-            self._recorder.cleared(cleared)
+            self._recorder.record_cleared(cleared)
         self._log.event(Event.suspected, content=content, ends=0, by='own')
 
     def record_connection_lost(
@@ -141,7 +141,7 @@
             tuple(Cleared(one.content, one.at_s) for one in batch.cleared),
         )
         news = self._add_records(records, peer.name)
-        if not self._links.tells_on or not _has_records(news):
+        if not self._peer_streams.is_relay or not _has_records(news):
             return
         if not self._to_forward:
             self._loop.call_later(_FORWARD_DELAY_S, self._forward)
@@ -177,7 +177,7 @@
         }
         self._claimed_until[content] = now + _TRIAL_RETRY_S
         try:
-            lease = await self._recorder.claim(content)
+            lease = await self._recorder.claim_trial(content)
         except (StoreError, TimeoutError) as exc:
             self._log.event(Event.store_call_failed, cause=repr(exc))
             raise quarantined_error(content, _TRIAL_RETRY_S) from exc
@@ -191,7 +191,7 @@
         await self._probe.wait_for_probes(content)
         lease = self._trials.pop(content, None)
         if lease is not None:
-            await self._recorder.release(lease)
+            await self._recorder.release_trial(lease)
 
     def _on_end(self, upstream: Upstream, runs: tuple[EndedRun, ...]) -> None:
         end = UpstreamEnd(upstream.incarnation, self._wall_clock(), runs)
@@ -203,7 +203,7 @@
         records = EndRecords((end,), ())
         self._add_records(records, 'own')
         self._broadcast(records)
-        self._recorder.ended(end)
+        self._recorder.record_termination(end)
 
     def _add_records(self, records: EndRecords, by: str) -> EndRecords:
         """Add records; return those that were not known yet."""
@@ -229,11 +229,11 @@
         return EndRecords(ended, cleared)
 
     def _broadcast(self, records: EndRecords) -> None:
-        for name in self._links.peers:
+        for name in self._peer_streams.peers:
             self._send(name, records)
 
     def _send(self, name: str, records: EndRecords) -> None:
-        batch = self._links.outgoing(name, urgent=True)
+        batch = self._peer_streams.next_batch(name, urgent=True)
         if batch is not None:
             _fill_records(batch, records)
 
@@ -241,14 +241,14 @@
         """Forward collected records to all peers except their senders."""
         forwarded = self._to_forward
         self._to_forward = []
-        for name in self._links.peers:
+        for name in self._peer_streams.peers:
             for source, records in forwarded:
                 if source != name:
                     self._send(name, records)
 
 
 def shared_guard(
-    links: PeerLinks,
+    peer_streams: PeerStreams,
     client: StoreClient,
     incarnation: str,
     log: EventLog,
@@ -256,7 +256,7 @@
 ) -> SharedGuard:
     """Return the guard of an instance, which needs its own store client."""
     recorder = EndRecorder(client, incarnation, log.event, rng)
-    return SharedGuard(links, recorder, log, time.time)
+    return SharedGuard(peer_streams, recorder, log, time.time)
 
 
 def _decode_runs(message: peers_pb2.Ended) -> tuple[EndedRun, ...]:
--- a/packages/entry/src/tallyhall_entry/instance.py
+++ b/packages/entry/src/tallyhall_entry/instance.py
@@ -24,29 +24,29 @@
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_edge.server import HttpServer
 from tallyhall_edge.stopping import StopSchedule
-from tallyhall_platform.absence import Absence
-from tallyhall_platform.calls import CallCounts
-from tallyhall_platform.dialect import PlatformDialect
-from tallyhall_platform.follow import Follower
-from tallyhall_platform.registry import LEAST_UNSEEN_S, Registration
+from tallyhall_platform.call_counts import CallCounts
+from tallyhall_platform.follower import Follower
+from tallyhall_platform.headers import PlatformHeaderCodec
+from tallyhall_platform.outage import OutageTracker
+from tallyhall_platform.registration import MIN_UNREACHABLE_S, Registration
 from tallyhall_platform.store import StoreClient
 from tallyhall_transport.peer import Peer
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
-from .endpoints import LOCATE_CACHE_S, Endpoints
 from .cluster_state import ClusterState
+from .endpoints import LOCATE_CACHE_S, Endpoints
 from .from_options import admits_s, freshness_s, new_gate, own_entry
 from .guard import shared_guard
 from .logs import BoundedStream, EventLog
 from .metrics import Metrics
-from .store_changes import StoreChangeExchange
-from .orders import Orders
+from .orders import LazyRollouts
+from .peer_reports import PeerReports
 from .reports import Reports
 from .shared import SharedScheduler
-from .talk import Talk
+from .store_changes import StoreChangeExchange
+from .stored_use import StoredUseSource
 from .telemetry import RequestTelemetry
-from .use_news import UseNews
-from .uses import WrittenUse
+from .use_refresh import UseRefresher
 
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
@@ -98,7 +98,7 @@
         self._metrics = Metrics(stream)
         self._entry = own_entry(options, rng)
         self._gate = new_gate(options, rng, self._loop.time())
-        self._links = PeerLinks(
+        self._peer_streams = PeerStreams(
             options.instance,
             self._entry.incarnation,
             self._on_batch,
@@ -106,16 +106,16 @@
             self._on_peer_lost,
             self._on_peer_opened,
         )
-        self._links.own_cores = self._entry.cores
+        self._peer_streams.own_cores = self._entry.cores
         self._dispatcher = Dispatcher(rng)
         self._scheduler = SharedScheduler(
             options.instance,
             self._dispatcher,
-            self._links,
+            self._peer_streams,
             self.log.event,
         )
         self._conns = ConnectionPool(
-            PlatformDialect.id_header, _CONNECT_TIMEOUT_S
+            PlatformHeaderCodec.id_header, _CONNECT_TIMEOUT_S
         )
         self._calls = CallCounts()
         self._reports = Reports(
@@ -126,7 +126,7 @@
         )
         self._guard_store = StoreClient(options.store.address, self._calls)
         self._guard = shared_guard(
-            self._links,
+            self._peer_streams,
             self._guard_store,
             self._entry.incarnation,
             self.log,
@@ -142,14 +142,14 @@
         self._membership = Membership(
             options.instance,
             admits_s(options),
-            LEAST_UNSEEN_S,
+            MIN_UNREACHABLE_S,
         )
         self._cluster_state = ClusterState(
             self._membership,
             self._gate,
             self._dispatcher,
             self._conns,
-            self._links,
+            self._peer_streams,
             self._front,
             self.log,
             self._metrics,
@@ -182,13 +182,13 @@
             self.log.event,
             rng,
             # Only one instance writes, as each write wakes every watch.
-            WrittenUse(
+            StoredUseSource(
                 self._gate.quotas, lambda: self._owns(_USAGE_WRITER_KEY)
             ),
             options.store.least_lease_s,
             self._cluster_state,
         )
-        self._absence = Absence(
+        self._outages = OutageTracker(
             options.store.heartbeat_s,
             options.bounds.contact_s,
         )
@@ -197,11 +197,11 @@
             self._cluster_state,
             self.log.event,
             rng,
-            self._absence,
+            self._outages,
             options.bounds.change_s,
         )
-        self._follower.view.on_ends = self._guard.take_stored
-        self._orders = Orders(
+        self._follower.view.on_end_records = self._guard.take_stored
+        self._orders = LazyRollouts(
             options,
             self._dispatcher,
             self._calls,
@@ -210,21 +210,21 @@
             self.log,
         )
         self._follower.view.on_rollout = self._orders.take
-        self._peer_reports = Talk(
+        self._peer_reports = PeerReports(
             self._gate,
-            self._links,
-            self._follower.view.take_raw_state,
+            self._peer_streams,
+            self._follower.view.apply_raw_state,
             self.log,
         )
         self._store_changes = StoreChangeExchange(
-            options.instance, self._links, self._follower
+            options.instance, self._peer_streams, self._follower
         )
-        self._usage_exchange = UseNews(
-            self._links,
+        self._usage_exchange = UseRefresher(
+            self._peer_streams,
             self._gate.quotas,
             self._update_peer_knowledge,
         )
-        self._runner.refresh_quota_use = self._usage_exchange.ask
+        self._runner.refresh_quota_use = self._usage_exchange.refresh
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
 
@@ -260,7 +260,7 @@
             incarnation=self._entry.incarnation,
         )
         await self._wait_for_state()
-        await self._links.listen(
+        await self._peer_streams.listen(
             str(options.peer), self._follower.view.raw_state
         )
 
@@ -271,7 +271,7 @@
         began_at = self._loop.time()
         self._begin_leaving()
         grace_s = self.options.bounds.grace_s
-        leaving = asyncio.create_task(self._registration.leave(grace_s))
+        leaving = asyncio.create_task(self._registration.mark_leaving(grace_s))
         ends_at = began_at + grace_s - _STOP_MARGIN_S
         left_at = began_at + _MAX_LOCATE_LIFETIMES * LOCATE_CACHE_S
         self._runner.begin_stop(
@@ -287,9 +287,9 @@
         leaving.cancel()
         self._front.close()
         self._front.close_idle()
-        await self._links.close()
+        await self._peer_streams.close()
         # Last, so that no peer counts this instance without hearing from it.
-        await self._registration.end(_LEASE_REVOKE_TIMEOUT_S)
+        await self._registration.unregister(_LEASE_REVOKE_TIMEOUT_S)
         self._reports.log_calls()
         self.log.event(Event.stopped, unfinished=self._front.busy_connections)
 
@@ -304,12 +304,12 @@
         if not changed:
             return
         self.options = options
-        self._follower_store.move(options.store.address)
-        self._registration_store.move(options.store.address)
-        self._guard_store.move(options.store.address)
+        self._follower_store.use_address(options.store.address)
+        self._registration_store.use_address(options.store.address)
+        self._guard_store.use_address(options.store.address)
         self._gate.freshness.bound_s = freshness_s(options)
-        self._absence.heartbeat_s = options.store.heartbeat_s
-        self._absence.contact_s = options.bounds.contact_s
+        self._outages.heartbeat_s = options.store.heartbeat_s
+        self._outages.contact_s = options.bounds.contact_s
         self._follower.view.change_s = options.bounds.change_s
         self._membership.admits_s = admits_s(options)
         self.log.event(
@@ -326,9 +326,9 @@
         for server in self._servers:
             server.close()
             server.abort_all()
-        await self._links.close()
+        await self._peer_streams.close()
 
-    def lose_store(self) -> None:
+    def stop_following_store(self) -> None:
         """Stop following the store, so that peers are the only source."""
         self._tasks['follower'].cancel()
 
@@ -340,9 +340,9 @@
         return self._scheduler.ownership.live
 
     @property
-    def hears(self) -> int:
+    def heard_count(self) -> int:
         """Return of how many instances, with itself, the usage is known."""
-        return self._links.hears
+        return self._peer_streams.heard_count
 
     @property
     def counts(self) -> int:
@@ -381,7 +381,7 @@
         now = self._loop.time()
         age = self._gate.freshness.age(now)
         if age is not None:
-            self._absence.alive(now - age)
+            self._outages.record_store_alive(now - age)
 
     def _fill_batch(self, peer: Peer, batch: peers_pb2.Batch) -> None:
         self._peer_reports.fill(peer, batch)
@@ -420,7 +420,7 @@
             self._gate,
             self._scheduler,
             self._conns,
-            PlatformDialect(),
+            PlatformHeaderCodec(),
             RequestTelemetry(self.log, self._metrics),
             self.options.instance,
             self.options.zone,
@@ -447,25 +447,25 @@
             await asyncio.sleep(_TICK_S)
             self._scheduler.tick()
             hubs = self._scheduler.hubs
-            self._store_changes.look(hubs)
-            for hub in self._usage_exchange.look(hubs):
-                self._links.outgoing(hub, urgent=True)
+            self._store_changes.poll(hubs)
+            for hub in self._usage_exchange.poll(hubs):
+                self._peer_streams.next_batch(hub, urgent=True)
             self._cluster_state.look()
             self._update_fleet()
             self._reports.log_fleet(
-                self._cluster_state.count, self._links.hears
+                self._cluster_state.count, self._peer_streams.heard_count
             )
-            self._orders.look()
+            self._orders.poll()
 
     def _owns(self, service: str) -> bool:
         return self.owner(service) == self.options.instance
 
     def _update_peer_knowledge(self) -> None:
-        self._scheduler.look()
+        self._scheduler.poll()
         self._update_fleet()
 
     def _update_fleet(self) -> None:
-        heard = self._links.hears
+        heard = self._peer_streams.heard_count
         instances = max(len(self._cluster_state.count.members), heard)
         self._gate.instances = instances
         self._gate.quotas.take_fleet(
@@ -483,4 +483,4 @@
         while True:
             await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
             self._conns.close_expired()
-            self._reports.look(self._gate, self._front, self._dispatcher)
+            self._reports.update(self._gate, self._front, self._dispatcher)
--- a/packages/entry/src/tallyhall_entry/job_messages.py
+++ b/packages/entry/src/tallyhall_entry/job_messages.py
@@ -8,8 +8,12 @@
 from tallyhall_dispatch.jobs import Job, RunReport
 from tallyhall_dispatch.pool import Granted
 from tallyhall_dispatch.refusing import GivenUp
-from tallyhall_transport.peer_codec import fill_done, fill_give_up, fill_job
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_codec import (
+    encode_done,
+    encode_give_up,
+    encode_job,
+)
+from tallyhall_transport.peer_streams import PeerStreams
 
 _MILLI = 1000
 
@@ -17,14 +21,14 @@
 class PeerOrigin:
     """Forwards scheduling decisions to the peer that asked; a `JobListener`."""
 
-    def __init__(self, links: PeerLinks, peer: str) -> None:
+    def __init__(self, peer_streams: PeerStreams, peer: str) -> None:
         """Forward decisions to this peer."""
-        self._links = links
+        self._peer_streams = peer_streams
         self._peer = peer
 
     def on_granted(self, granted: Granted) -> None:
         """Tell the peer that a job may be sent to an upstream."""
-        batch = self._links.outgoing(self._peer, urgent=True)
+        batch = self._peer_streams.next_batch(self._peer, urgent=True)
         if batch is not None:
             batch.grants.add(
                 key=granted.key,
@@ -34,36 +38,36 @@
 
     def on_rejected(self, given_up: GivenUp) -> None:
         """Tell the peer that a job cannot meet its deadline."""
-        batch = self._links.outgoing(self._peer, urgent=True)
+        batch = self._peer_streams.next_batch(self._peer, urgent=True)
         if batch is not None:
-            fill_give_up(batch.give_ups.add(), given_up)
+            encode_give_up(batch.give_ups.add(), given_up)
 
 
 class JobMessages:
     """Queues job messages for peers; those to an unknown peer are dropped."""
 
-    def __init__(self, links: PeerLinks) -> None:
-        """Send through these links."""
-        self._links = links
+    def __init__(self, peer_streams: PeerStreams) -> None:
+        """Send through these streams."""
+        self._peer_streams = peer_streams
         self._loop = asyncio.get_running_loop()
 
     def ask(self, owner: str, job: Job) -> bool:
         """Ask an owner for an upstream; return False if it is unknown."""
-        batch = self._links.outgoing(owner, urgent=True)
+        batch = self._peer_streams.next_batch(owner, urgent=True)
         if batch is None:
             return False
-        fill_job(batch.asks.add(), job, self._loop.time())
+        encode_job(batch.asks.add(), job, self._loop.time())
         return True
 
     def queued(self, peer: str, key: str) -> None:
         """Tell a peer that its job is queued here."""
-        batch = self._links.outgoing(peer, urgent=True)
+        batch = self._peer_streams.next_batch(peer, urgent=True)
         if batch is not None:
             batch.queued.append(key)
 
     def withdrawn(self, owner: str, key: str) -> None:
         """Tell an owner to remove a job from its queue."""
-        batch = self._links.outgoing(owner, urgent=False)
+        batch = self._peer_streams.next_batch(owner, urgent=False)
         if batch is None:
             return
         batch.withdrawn.append(key)
@@ -86,19 +90,19 @@
 
         Returns False if the owner is unknown.
         """
-        batch = self._links.outgoing(owner, urgent=False)
+        batch = self._peer_streams.next_batch(owner, urgent=False)
         if batch is None:
             return False
         running = batch.running.add(
             upstream=upstream.incarnation,
             begun=begun,
         )
-        fill_job(running.job, job, self._loop.time())
+        encode_job(running.job, job, self._loop.time())
         return True
 
     def begun(self, peer: str, key: str) -> None:
         """Tell a peer that the response to a job has begun."""
-        batch = self._links.outgoing(peer, urgent=False)
+        batch = self._peer_streams.next_batch(peer, urgent=False)
         if batch is not None:
             batch.begun.append(key)
 
@@ -111,6 +115,6 @@
         report: RunReport,
     ) -> None:
         """Tell a peer the result of a send."""
-        batch = self._links.outgoing(peer, urgent=True)
+        batch = self._peer_streams.next_batch(peer, urgent=True)
         if batch is not None:
-            fill_done(batch.done.add(), key, service, incarnation, report)
+            encode_done(batch.done.add(), key, service, incarnation, report)
--- a/packages/entry/src/tallyhall_entry/knowledge.py
+++ b/packages/entry/src/tallyhall_entry/knowledge.py
@@ -4,7 +4,7 @@
 
 import msgspec
 from tallyhall_dispatch.topology import is_mesh
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 # Heartbeat intervals without a batch after which a peer may be partitioned.
 # Consecutive heartbeats arrive up to 1.2 intervals apart on a busy machine.
@@ -23,8 +23,8 @@
     counted_at: float | None = None
 
 
-def known(
-    links: PeerLinks,
+def peer_knowledge(
+    peer_streams: PeerStreams,
     name: str,
     hubs: frozenset[str],
     now: float,
@@ -33,17 +33,21 @@
 
     A peer that answers a question has processed everything sent before it.
     """
-    live = [peer for peer in links.peers.values() if links.answers(peer, now)]
+    live = [
+        peer
+        for peer in peer_streams.peers.values()
+        if peer_streams.is_connected(peer, now)
+    ]
     if not live:
         return PeerKnowledge()
-    known_at = min(peer.answered_at for peer in live)
-    silent_s = now - min(peer.heard_at for peer in live)
-    if silent_s > _SUSPECT_HEARTBEATS * links.beat_s:
+    known_at = min(peer.echoed_at for peer in live)
+    silent_s = now - min(peer.last_heard_at for peer in live)
+    if silent_s > _SUSPECT_HEARTBEATS * peer_streams.heartbeat_s:
         return PeerKnowledge(known_at)
-    if is_mesh(links.instances):
+    if is_mesh(peer_streams.instances):
         return PeerKnowledge(known_at, known_at)
     if name in hubs:
         return PeerKnowledge(known_at, now)
     # A former hub still answers but no longer forwards reports.
-    telling = [peer.answered_at for peer in live if peer.name in hubs]
+    telling = [peer.echoed_at for peer in live if peer.name in hubs]
     return PeerKnowledge(known_at, max(telling, default=None))
--- a/packages/entry/src/tallyhall_entry/losses.py
+++ b/packages/entry/src/tallyhall_entry/losses.py
@@ -17,7 +17,7 @@
 from tallyhall_core.refusals import Reason
 
 from .explain import Line, read_line
-from .quota_uses import QuotaUses
+from .quota_uses import ActualQuotaUse
 
 # An instance whose last line is this much older than the newest line of all is
 # considered lost together with its running requests, in seconds. A live one
@@ -118,7 +118,7 @@
     log_index = _index_lines(texts)
     for refusal in log_index.refusals:
         request = str(refusal.fields['request'])
-        log_index.uses.given_back(request, refusal.at_s)
+        log_index.uses.add_refund(request, refusal.at_s)
     lost: list[Loss] = []
     unfinished = 0
     for request, lines in log_index.by_request.items():
@@ -142,7 +142,7 @@
         self.by_request: dict[str, list[Line]] = {}
         self.starts: dict[str, list[float]] = {}
         self.newest: dict[str, float] = {}
-        self.uses = QuotaUses()
+        self.uses = ActualQuotaUse()
         self.first_at = float('inf')
         self.last_at: float = 0
         self.refusals: list[Line] = []
@@ -167,7 +167,7 @@
         if request:
             self.by_request.setdefault(str(request), []).append(line)
         if 'charged' in line.fields:
-            self.uses.charged(
+            self.uses.add_charge(
                 str(request),
                 str(line.fields['workspace']),
                 at,
@@ -266,7 +266,7 @@
     return Cause.refused
 
 
-def _had_quota_left(refused: Line, uses: QuotaUses) -> bool:
+def _had_quota_left(refused: Line, uses: ActualQuotaUse) -> bool:
     """Return whether the quota had enough left for a refused request."""
     fields = refused.fields
     if 'quota' not in fields:
--- a/packages/entry/src/tallyhall_entry/orders.py
+++ b/packages/entry/src/tallyhall_entry/orders.py
@@ -10,7 +10,7 @@
 
 from tallyhall_dispatch.options import Options
 from tallyhall_edge.scheduling import Dispatcher
-from tallyhall_platform.calls import CallCounts
+from tallyhall_platform.call_counts import CallCounts
 from tallyhall_platform.store import Change
 
 from .logs import EventLog
@@ -19,7 +19,7 @@
     from .rollouts import Rollouts
 
 
-class Orders:
+class LazyRollouts:
     """Receives rollout orders and their statuses."""
 
     def __init__(
@@ -58,10 +58,10 @@
             )
         self._rollouts.take(change, made_after)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Start leading rollouts of services that this instance owns."""
         if self._rollouts is not None:
-            self._rollouts.look()
+            self._rollouts.poll()
 
     def close(self) -> None:
         """Stop leading immediately, without writing anything to the store."""
--- a/packages/entry/src/tallyhall_entry/owners.py
+++ b/packages/entry/src/tallyhall_entry/owners.py
@@ -11,7 +11,7 @@
 import msgspec
 from tallyhall_dispatch.ownership import Ownership
 from tallyhall_edge.scheduling import Dispatcher
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 # Minimum time for which an unresponsive owner is skipped. It is also skipped
 # until it has answered something that was sent with the ask or after it.
@@ -40,7 +40,7 @@
         self,
         name: str,
         dispatcher: Dispatcher,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
     ) -> None:
         """Select owners on behalf of the named instance."""
         self.ownership = Ownership()
@@ -49,7 +49,7 @@
         self.share: float = 1
         self._name = name
         self._dispatcher = dispatcher
-        self._links = links
+        self._peer_streams = peer_streams
         self._loop = asyncio.get_running_loop()
         self._unresponsive: dict[str, _UnresponsiveOwner] = {}
 
@@ -106,7 +106,7 @@
             # others may reach it.
             return _SECOND_OWNER_SHARE * self.share
         # If no owner responds, every other instance decides for itself, too.
-        return 0 if self.usable(service) else 1 / self._links.instances
+        return 0 if self.usable(service) else 1 / self._peer_streams.instances
 
     def unanswered(self, owner: str, asked_at: float) -> None:
         """Record that an owner did not respond to an ask."""
@@ -124,8 +124,8 @@
             return False
         if self._loop.time() < suspect.until:
             return True
-        peer = self._links.peers.get(owner)
-        if peer is not None and peer.answered_at < suspect.asked_at:
+        peer = self._peer_streams.peers.get(owner)
+        if peer is not None and peer.echoed_at < suspect.asked_at:
             return True
         self._unresponsive.pop(owner)
         return False
--- a/packages/entry/src/tallyhall_entry/talk.py
+++ b/packages/entry/src/tallyhall_entry/peer_reports.py
@@ -12,7 +12,7 @@
 from tallyhall_dispatch.quota_use import FleetUse, Parts, UseReport
 from tallyhall_dispatch.topology import is_mesh
 from tallyhall_transport.peer import Peer
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 from .logs import EventLog
 
@@ -26,20 +26,20 @@
 _FETCH_DELAY_S = 0.3
 
 
-class Talk:
+class PeerReports:
     """Reads and writes the batch fields on quotas and desired state."""
 
     def __init__(
         self,
         gate: Gate,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         take_raw_state: Callable[[bytes], None],
         log: EventLog,
     ) -> None:
         """Update this gate with the reports of peers."""
         self.leaving = False
         self._gate = gate
-        self._links = links
+        self._peer_streams = peer_streams
         self._take_raw_state = take_raw_state
         self._log = log
         self._loop = asyncio.get_running_loop()
@@ -81,7 +81,7 @@
             batch.confirmed_ms_ago = int(age * _MILLI) + 1
         batch.leaving = self.leaving
         # Members that this instance does not hear from may have admitted much.
-        hears_all = self._links.hears >= self._gate.instances
+        hears_all = self._peer_streams.heard_count >= self._gate.instances
         batch.knows_use = hears_all and self._gate.quotas.knows_past(now)
         for name, use in self._gate.quotas.report(now).items():
             if self._must_report(peer, name, use):
@@ -93,14 +93,14 @@
         Hubs repeat high usage in every batch, and report it once more when it
         is no longer high, since peers rely on the last report.
         """
-        if peer.told.get(name) != use.total + use.returned:
+        if peer.reported_totals.get(name) != use.total + use.returned:
             # Neither ever decreases, so the sum changes if either does.
             return True
-        if not peer.knows_use:
+        if not peer.knows_fleet_use:
             return True
-        if is_mesh(self._links.instances):
+        if is_mesh(self._peer_streams.instances):
             return False
-        return use.is_high or name in peer.told_high
+        return use.is_high or name in peer.reported_high
 
     def _fill_spent(
         self,
@@ -121,19 +121,19 @@
         spent.counted = self._last_totals.get(run_key, 0)
         spent.returned = use.returned
         spent.oldest_return_s = use.oldest_return_s
-        if name not in peer.told:
+        if name not in peer.reported_totals:
             _fill_parts(spent.own_parts, quotas.own_parts(name, now))
-        if not peer.knows_use:
+        if not peer.knows_fleet_use:
             _fill_parts(spent.fleet_parts, quotas.fleet_parts(name, now))
-        reported = peer.told_returned.get(name, 0)
+        reported = peer.reported_returns.get(name, 0)
         if use.returned > reported:
             _fill_parts(spent.returns, quotas.returns(name, reported, now))
-        peer.told[name] = use.total + use.returned
-        peer.told_returned[name] = use.returned
+        peer.reported_totals[name] = use.total + use.returned
+        peer.reported_returns[name] = use.returned
         if use.is_high:
-            peer.told_high.add(name)
+            peer.reported_high.add(name)
         else:
-            peer.told_high.discard(name)
+            peer.reported_high.discard(name)
 
     def _handle_spent(
         self,
@@ -153,7 +153,7 @@
             amount = min(spent.total - seen, within)
             self._count_amount(batch.sender, spent.workspace, (0, amount), now)
         self._handle_returns(run_key, spent, now)
-        if not is_mesh(self._links.instances):
+        if not is_mesh(self._peer_streams.instances):
             fleet = FleetUse(
                 batch.sender,
                 spent.fleet,
@@ -229,7 +229,7 @@
         quotas = self._gate.quotas
         if not batch.knows_use or quotas.knows_past(now):
             return
-        of = self._links.instances
+        of = self._peer_streams.instances
         if not self._knows_fleet_usage(batch, now):
             return
         self._log.event(
@@ -269,7 +269,7 @@
         own = spent.counted - self._gate.quotas.own_returned(name)
         parts = _decode_parts(spent.fleet_parts) or ((0, spent.fleet),)
         others = _subtract_newest(parts, max(0, own))
-        if not is_mesh(self._links.instances):
+        if not is_mesh(self._peer_streams.instances):
             return others
         # In a mesh all others have reported to this instance. The sender may
         # not know their most recent reports yet.
@@ -281,7 +281,7 @@
         A sender that hears only a part of the fleet knows only a part of its
         usage, which is less than what was recalled from the store.
         """
-        registered = self._links.registered
+        registered = self._peer_streams.registered
         if batch.sender not in registered or batch.hears < len(registered):
             return False
         if not is_mesh(len(registered)):
@@ -291,7 +291,7 @@
 
     async def _fetch_state(self, peer: str) -> None:
         await asyncio.sleep(_FETCH_DELAY_S)
-        raw = await self._links.fetch_state(peer)
+        raw = await self._peer_streams.fetch_state(peer)
         self._fetch_task = None
         if raw:
             self._take_raw_state(raw)
--- a/packages/entry/src/tallyhall_entry/quota_uses.py
+++ b/packages/entry/src/tallyhall_entry/quota_uses.py
@@ -16,7 +16,7 @@
     until_s: float = float('inf')
 
 
-class QuotaUses:
+class ActualQuotaUse:
     """The charges of all requests, which may be added in any order."""
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         )
         self._is_sorted = True
 
-    def charged(
+    def add_charge(
         self,
         request: str,
         workspace: str,
@@ -40,7 +40,7 @@
         self._by_workspace[workspace].append(charge)
         self._is_sorted = False
 
-    def given_back(self, request: str, at_s: float) -> None:
+    def add_refund(self, request: str, at_s: float) -> None:
         """Record that a request was refused after it had been admitted."""
         charge = self._by_request.get(request)
         if charge is not None:
--- a/packages/entry/src/tallyhall_entry/reports.py
+++ b/packages/entry/src/tallyhall_entry/reports.py
@@ -9,7 +9,7 @@
 from tallyhall_dispatch.gate import Gate
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_edge.server import HttpServer
-from tallyhall_platform.calls import CallCounts
+from tallyhall_platform.call_counts import CallCounts
 
 from .logs import EventLog
 from .metrics import Metrics
@@ -55,7 +55,7 @@
 
     def log_calls(self) -> None:
         """Log the counts of store calls if they changed since the last line."""
-        calls = self._calls.by_labels()
+        calls = self._calls.by_label()
         if calls == self._metrics.store_calls:
             return
         self._metrics.store_calls = calls
@@ -65,7 +65,7 @@
             calls={'/'.join(labels): count for labels, count in calls.items()},
         )
 
-    def look(
+    def update(
         self,
         gate: Gate,
         front: HttpServer,
--- a/packages/entry/src/tallyhall_entry/rollouts.py
+++ b/packages/entry/src/tallyhall_entry/rollouts.py
@@ -30,7 +30,7 @@
     order_in_progress,
 )
 from tallyhall_edge.scheduling import Dispatcher
-from tallyhall_platform.calls import CallCounts
+from tallyhall_platform.call_counts import CallCounts
 from tallyhall_platform.errors import ConditionFailedError, StoreError
 from tallyhall_platform.rollouts import (
     RolloutStore,
@@ -38,7 +38,7 @@
     decode_order,
     decode_status,
     is_order_key,
-    service_of,
+    service_of_key,
 )
 from tallyhall_platform.store import Change, StoreClient
 
@@ -109,7 +109,7 @@
 
         made_after: time on the loop's clock before which it did not exist.
         """
-        service = service_of(change.key)
+        service = service_of_key(change.key)
         known = self._known.setdefault(service, _ServiceRollout())
         if is_order_key(change.key):
             # An unreadable order withdraws the previous one.
@@ -128,7 +128,7 @@
         known.status = decode_status(change)
         self._notify_dispatcher(service, known)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Start leading rollouts of services that this instance owns."""
         self._dispatcher.check_versions()
         for service, known in self._known.items():
@@ -262,7 +262,7 @@
         stored = await self._write(service, rollout, stored)
         if not _is_running(stored, order):
             first = RolloutStatus(order.target, RolloutState.running, 0)
-            stored = await self._store.tell(service, first, stored)
+            stored = await self._store.write_status(service, first, stored)
         self._log.event(
             Event.rollout_led,
             service=service,
@@ -312,7 +312,7 @@
             asked_at,
             time.time(),
         )
-        written = await self._store.write(service, record, stored)
+        written = await self._store.write_record(service, record, stored)
         rollout.record_written(record, asked_at)
         return written
 
@@ -326,7 +326,7 @@
     ) -> None:
         self._log_verdict(service, rollout, verdict)
         status = RolloutStatus(rollout.order.target, verdict.state, 0)
-        written = await self._store.tell(service, status, stored)
+        written = await self._store.write_status(service, status, stored)
         if known.order == rollout.order:
             known.status = written.status
             self._notify_dispatcher(service, known)
@@ -347,7 +347,7 @@
         self._dispatcher.set_led_rollout(service, None)
         now = self._loop.time()
         record = rollout.next_record('', now, time.time())
-        await self._store.write(service, record, stored)
+        await self._store.write_record(service, record, stored)
 
     # -- log
 
--- a/packages/entry/src/tallyhall_entry/shared.py
+++ b/packages/entry/src/tallyhall_entry/shared.py
@@ -31,13 +31,13 @@
     decode_give_up,
     decode_job,
 )
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 from .job_messages import JobMessages, PeerOrigin
-from .knowledge import PeerKnowledge, known
-from .neighbours import Neighbours
+from .knowledge import PeerKnowledge, peer_knowledge
 from .owners import Owners
-from .upstream_news import UpstreamAnnouncements
+from .peer_tracker import PeerTracker
+from .upstream_announcements import UpstreamAnnouncements
 
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
@@ -46,7 +46,7 @@
 _DROP_JOBS_AFTER_S = 1.5
 # Timeout for the response of an owner, after which the next one is asked. A
 # response normally takes 3 ms.
-_ANSWER_S = 0.06
+_OWNER_TIMEOUT_S = 0.06
 # A held request is decided at the latest this long before it is given up. Held
 # requests are checked at each tick, every 50 ms.
 _HELD_MARGIN_S = 0.15
@@ -79,18 +79,18 @@
         self,
         name: str,
         dispatcher: Dispatcher,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         log: Callable[..., None],
     ) -> None:
         """Use this dispatcher for decisions that no owner makes."""
         self.leaving = False
-        self._owners = Owners(name, dispatcher, links)
+        self._owners = Owners(name, dispatcher, peer_streams)
         self.ownership = self._owners.ownership
         # Instances that hear from all others, as seen by this one.
         self.hubs: frozenset[str] = frozenset()
         self._name = name
         self._dispatcher = dispatcher
-        self._links = links
+        self._peer_streams = peer_streams
         self._log = log
         self._loop = asyncio.get_running_loop()
         self._tickets: dict[str, _Ticket] = {}
@@ -98,9 +98,11 @@
         self._dropped: set[str] = set()
         # Jobs that wait or run without any responsive owner, by service.
         self._alone: dict[str, set[str]] = collections.defaultdict(set)
-        self._neighbours = Neighbours(name, links)
-        self._messages = JobMessages(links)
-        self.upstream_listener = UpstreamAnnouncements(dispatcher, links, log)
+        self._peer_tracker = PeerTracker(name, peer_streams)
+        self._messages = JobMessages(peer_streams)
+        self.upstream_listener = UpstreamAnnouncements(
+            dispatcher, peer_streams, log
+        )
         self._known = PeerKnowledge()
 
     @property
@@ -231,7 +233,7 @@
     def tick(self) -> None:
         """Update the live peers, and move jobs to the current owners."""
         self._drop_lost()
-        self.look()
+        self.poll()
         self._update_limit_shares()
         for ticket in tuple(self._tickets.values()):
             self._reassign(ticket)
@@ -241,15 +243,17 @@
         self._owners.share = share
         self._dispatcher.apply_slot_share(share)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Update which peers are live and know what was admitted here."""
         now = self._loop.time()
-        seen = self._neighbours.look(now, leaving=self.leaving)
-        self._links.hears = seen.hears
-        self._links.hears_directly = seen.hears_directly
+        seen = self._peer_tracker.update(now, leaving=self.leaving)
+        self._peer_streams.heard_count = seen.heard_count
+        self._peer_streams.directly_heard_count = seen.directly_heard_count
         self.hubs = seen.hubs
-        self._links.is_hub = self._name in seen.hubs
-        self._known = known(self._links, self._name, seen.hubs, now)
+        self._peer_streams.is_hub = self._name in seen.hubs
+        self._known = peer_knowledge(
+            self._peer_streams, self._name, seen.hubs, now
+        )
         # If all instances are stopping, the hubs continue to own services.
         # Without an owner each instance would fill all slots.
         owners = seen.owners or seen.hubs
@@ -257,7 +261,7 @@
             self._log(
                 Event.instances_changed,
                 live=sorted(owners),
-                hears=seen.hears,
+                hears=seen.heard_count,
             )
 
     # -- implementation
@@ -273,9 +277,9 @@
     def _drop_lost(self) -> None:
         """Drop the jobs of peers that are no longer heard from."""
         now = self._loop.time()
-        drop_s = max(_DROP_JOBS_AFTER_S, self._links.lost_s)
-        for peer in self._links.peers.values():
-            heard_s = now - peer.heard_at
+        drop_s = max(_DROP_JOBS_AFTER_S, self._peer_streams.peer_timeout_s)
+        for peer in self._peer_streams.peers.values():
+            heard_s = now - peer.last_heard_at
             if heard_s > drop_s and peer.name not in self._dropped:
                 self._dropped.add(peer.name)
                 self._dispatcher.drop_jobs(f'{peer.name}/')
@@ -283,7 +287,7 @@
     def _handle_ask(self, peer: str, job: Job) -> None:
         origin = self._origins.setdefault(
             peer,
-            PeerOrigin(self._links, peer),
+            PeerOrigin(self._peer_streams, peer),
         )
         self._dispatcher.submit(job, origin)
         if self._dispatcher.is_waiting(job.key):
@@ -341,7 +345,7 @@
         ticket.owner = owner
         ticket.asked_at = self._loop.time()
         ticket.timer = self._loop.call_later(
-            _ANSWER_S,
+            _OWNER_TIMEOUT_S,
             self._on_ask_timeout,
             ticket,
         )
@@ -353,7 +357,7 @@
             job.service,
             ticket.unanswered,
             left_s,
-            _ANSWER_S,
+            _OWNER_TIMEOUT_S,
         )
 
     def _decide_without_owner(self, ticket: _Ticket) -> None:
@@ -370,7 +374,7 @@
         ticket.held = not self._dispatcher.may_use_slot(
             job.service,
             len(alone),
-            self._links.instances,
+            self._peer_streams.instances,
         )
         late = self._loop.time() >= job.give_up_at - _HELD_MARGIN_S
         if late or not ticket.held:
--- a/packages/entry/src/tallyhall_entry/store_changes.py
+++ b/packages/entry/src/tallyhall_entry/store_changes.py
@@ -20,11 +20,11 @@
 import msgspec
 from tallyhall_dispatch.topology import is_mesh
 from tallyhall_membership.rendezvous import rank
-from tallyhall_platform.follow import Follower, Role
-from tallyhall_platform.history import News
+from tallyhall_platform.change_history import ChangeBatch
+from tallyhall_platform.follower import Follower, Role
 from tallyhall_platform.store import Change
 from tallyhall_transport.peer import Peer
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
@@ -54,12 +54,12 @@
     def __init__(
         self,
         name: str,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         follower: Follower,
     ) -> None:
         """Request changes for this follower of the store."""
         self._name = name
-        self._links = links
+        self._peer_streams = peer_streams
         self._follower = follower
         self._loop = asyncio.get_running_loop()
         # Time at which each peer's view of the store was known to be complete.
@@ -71,7 +71,7 @@
         # Time until which a peer is not asked.
         self._skipped_until: dict[str, float] = {}
 
-    def look(self, hubs: frozenset[str]) -> None:
+    def poll(self, hubs: frozenset[str]) -> None:
         """Update the role from the hubs, and poll one of them when due."""
         now = self._loop.time()
         self._follower.role = self._role(hubs)
@@ -85,7 +85,7 @@
         relay = self._choose_relay(hubs, now)
         if relay is None:
             return
-        if self._links.outgoing(relay, urgent=True) is not None:
+        if self._peer_streams.next_batch(relay, urgent=True) is not None:
             self._pending = _PendingRequest(relay, now)
 
     def take(self, peer: Peer, batch: peers_pb2.Batch) -> None:
@@ -93,7 +93,7 @@
         name = peer.name
         if batch.asks_after:
             self._unanswered[name] = batch.asks_after
-            self._links.outgoing(name, urgent=True)
+            self._peer_streams.next_batch(name, urgent=True)
         now = self._loop.time()
         asked_at = batch.echo_us / _MICRO
         if batch.followed_ms_ago < 0 or not 0 < asked_at <= now:
@@ -108,7 +108,7 @@
     def fill(self, peer: Peer, batch: peers_pb2.Batch) -> None:
         """Add the age of the local view, requests and responses to a batch."""
         view = self._follower.view
-        age_s = self._loop.time() - view.followed_at
+        age_s = self._loop.time() - view.complete_as_of
         batch.followed_ms_ago = _NEVER
         if view.cursor is not None:
             batch.followed_ms_ago = int(age_s * _MILLI) + 1
@@ -117,14 +117,14 @@
             asked.is_sent = True
             batch.asks_after = view.cursor or 0
         after = self._unanswered.pop(peer.name, 0)
-        news = view.news(after) if after else None
+        news = view.changes_after(after) if after else None
         if news is not None:
             _fill_news(batch.news, news)
 
     # -- implementation
 
     def _role(self, hubs: frozenset[str]) -> Role:
-        if is_mesh(self._links.instances):
+        if is_mesh(self._peer_streams.instances):
             return Role.solo
         return Role.relay if self._name in hubs else Role.subscriber
 
@@ -133,9 +133,9 @@
         if follower.role is Role.solo or follower.view.cursor is None:
             return False
         if follower.role is Role.subscriber:
-            return now - self._updated_at >= follower.ask_s
-        late = now - follower.view.followed_at >= follower.untold_s
-        return late and now - self._updated_at >= follower.ask_s
+            return now - self._updated_at >= follower.poll_interval_s
+        late = now - follower.view.complete_as_of >= follower.max_relay_age_s
+        return late and now - self._updated_at >= follower.poll_interval_s
 
     def _choose_relay(self, hubs: frozenset[str], now: float) -> str | None:
         """Return the peer to ask now, None if no peer has newer data."""
@@ -145,9 +145,9 @@
                     return hub
             return None
         # A relay with an old view asks the peer with the newest one.
-        known = self._follower.view.followed_at
+        known = self._follower.view.complete_as_of
         best = None
-        for name in self._links.peers:
+        for name in self._peer_streams.peers:
             if now < self._skipped_until.get(name, now):
                 continue
             if self._current_at.get(name, known) > known:
@@ -166,10 +166,10 @@
             self._pending = None
         now = self._loop.time()
         news = _decode_news(message)
-        if not self._follower.view.take_news(news, current_at):
+        if not self._follower.view.apply_relayed(news, current_at):
             self._skip(name, now)
             return
-        if now - current_at >= self._follower.untold_s:
+        if now - current_at >= self._follower.max_relay_age_s:
             # The peer is itself partitioned from the store.
             self._skip(name, now)
             return
@@ -185,7 +185,7 @@
         self._skipped_until[name] = now + _SKIP_S
 
 
-def _decode_news(message: peers_pb2.News) -> News:
+def _decode_news(message: peers_pb2.News) -> ChangeBatch:
     changes = tuple(
         Change(
             change.key,
@@ -194,10 +194,10 @@
         )
         for change in message.changes
     )
-    return News(message.after, message.revision, changes)
+    return ChangeBatch(message.after, message.revision, changes)
 
 
-def _fill_news(message: peers_pb2.News, news: News) -> None:
+def _fill_news(message: peers_pb2.News, news: ChangeBatch) -> None:
     message.after = news.after
     message.revision = news.revision
     for change in news.changes:
--- a/packages/entry/src/tallyhall_entry/uses.py
+++ b/packages/entry/src/tallyhall_entry/stored_use.py
@@ -8,7 +8,7 @@
 from tallyhall_dispatch.quota import Quotas, Written
 
 
-class WrittenUse:
+class StoredUseSource:
     """A `UseSource` that supplies the quota use known to the writer."""
 
     def __init__(self, quotas: Quotas, is_writer: Callable[[], bool]) -> None:
@@ -17,13 +17,13 @@
         self._is_writer = is_writer
         self._loop = asyncio.get_running_loop()
 
-    def due(self) -> Written | None:
+    def pending(self) -> Written | None:
         """Return the use to be written now, None for no write."""
         if self._is_writer():
             return self._quotas.due_writing(self._loop.time())
         self._quotas.note_written({})
         return None
 
-    def written(self, use: Written) -> None:
+    def mark_written(self, use: Written) -> None:
         """Record that the use was stored."""
         self._quotas.note_written(use)
--- a/packages/entry/src/tallyhall_entry/upstream_news.py
+++ b/packages/entry/src/tallyhall_entry/upstream_announcements.py
@@ -16,7 +16,7 @@
 from tallyhall_dispatch.named_limits import NamedLimit
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_transport.peer import Peer
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
@@ -34,12 +34,12 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         log: Callable[..., None],
     ) -> None:
         """Apply announcements to this dispatcher."""
         self._dispatcher = dispatcher
-        self._links = links
+        self._peer_streams = peer_streams
         self._log = log
         self._loop = asyncio.get_running_loop()
         # Upstreams whose limits are to be sent, each with its source.
@@ -74,7 +74,7 @@
 
     def on_opened(self, peer: Peer) -> None:
         """Send all known announcements on a newly opened stream."""
-        batch = self._links.outgoing(peer.name, urgent=False)
+        batch = self._peer_streams.next_batch(peer.name, urgent=False)
         if batch is None:
             return
         batch.leaving_upstreams.extend(self._dispatcher.announced_leaving)
@@ -84,7 +84,10 @@
     def take(self, peer: Peer, batch: peers_pb2.Batch) -> None:
         """Process announcements received from a peer."""
         for leaver in batch.leaving_upstreams:
-            if self._dispatcher.mark_leaving(leaver) and self._links.tells_on:
+            if (
+                self._dispatcher.mark_leaving(leaver)
+                and self._peer_streams.is_relay
+            ):
                 self._broadcast_leaving(leaver, peer.name)
         for message in batch.named_limits:
             self._handle_limit(peer.name, message)
@@ -92,7 +95,7 @@
     def resend_leaving(self, peer: str, incarnation: str) -> None:
         """Resend to a peer that an upstream is leaving, if that is known."""
         if incarnation in self._dispatcher.leaving_upstreams:
-            batch = self._links.outgoing(peer, urgent=True)
+            batch = self._peer_streams.next_batch(peer, urgent=True)
             if batch is not None:
                 batch.leaving_upstreams.append(incarnation)
 
@@ -119,12 +122,12 @@
             by=by,
         )
         self._dispatcher.apply_limits()
-        if by == _OWN_SOURCE or self._links.tells_on:
+        if by == _OWN_SOURCE or self._peer_streams.is_relay:
             self._broadcast_limit(incarnation, by)
 
     def _broadcast_leaving(self, incarnation: str, by: str) -> None:
         """Broadcast that an upstream is leaving, except to the source."""
-        for name in self._links.peers.keys() - {by}:
+        for name in self._peer_streams.peers.keys() - {by}:
             self.resend_leaving(name, incarnation)
 
     def _broadcast_limit(self, incarnation: str, by: str) -> None:
@@ -142,7 +145,7 @@
             return
         unsent = self._unsent
         self._unsent = {}
-        for name in self._links.peers:
+        for name in self._peer_streams.peers:
             self._send_limits(
                 name,
                 [one for one, by in unsent.items() if by != name],
@@ -154,7 +157,7 @@
     def _send_limits(self, peer: str, incarnations: Collection[str]) -> None:
         if not incarnations:
             return
-        batch = self._links.outgoing(peer, urgent=True)
+        batch = self._peer_streams.next_batch(peer, urgent=True)
         if batch is None:
             return
         for incarnation in incarnations:
--- a/packages/entry/src/tallyhall_entry/use_news.py
+++ b/packages/entry/src/tallyhall_entry/use_refresh.py
@@ -16,7 +16,7 @@
 from tallyhall_dispatch.quota import Quotas
 from tallyhall_dispatch.topology import is_mesh
 from tallyhall_transport.peer import Peer
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 if TYPE_CHECKING:
     from tallyhall_transport.generated import peers_pb2
@@ -27,12 +27,12 @@
 _POLL_S = 0.01
 
 
-class UseNews:
+class UseRefresher:
     """Requests the use of the fleet from hubs and answers such requests."""
 
     def __init__(
         self,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         quotas: Quotas,
         take_known: Callable[[], None],
     ) -> None:
@@ -40,7 +40,7 @@
 
         take_known: applies the answers received so far to the quotas.
         """
-        self._links = links
+        self._peer_streams = peer_streams
         self._quotas = quotas
         self._take_known = take_known
         self._loop = asyncio.get_running_loop()
@@ -50,11 +50,11 @@
         self._requested_at = float('-inf')
         self._refresh_task: asyncio.Task[None] | None = None
 
-    def look(self, hubs: frozenset[str]) -> frozenset[str]:
+    def poll(self, hubs: frozenset[str]) -> frozenset[str]:
         """Update the hubs; return those to send a request to now."""
-        self._hubs = hubs & self._links.peers.keys()
+        self._hubs = hubs & self._peer_streams.peers.keys()
         now = self._loop.time()
-        if is_mesh(self._links.instances):
+        if is_mesh(self._peer_streams.instances):
             return frozenset()
         if now - self._requested_at < self._quotas.refresh_s:
             return frozenset()
@@ -73,12 +73,12 @@
 
     def is_stale(self, now: float) -> bool:
         """Return whether a refresh would yield newer data."""
-        if is_mesh(self._links.instances) or not self._hubs:
+        if is_mesh(self._peer_streams.instances) or not self._hubs:
             return False
         known_at = self._quotas.known_at
         return known_at is None or now - known_at >= self._quotas.refresh_s
 
-    async def ask(self) -> bool:
+    async def refresh(self) -> bool:
         """Refresh the use of the fleet; return whether a refresh was needed."""
         now = self._loop.time()
         if not self.is_stale(now):
@@ -91,7 +91,7 @@
     def take(self, peer: Peer, batch: peers_pb2.Batch) -> None:
         """Answer a batch that requests an immediate answer."""
         if batch.answer_now:
-            self._links.outgoing(peer.name, urgent=True)
+            self._peer_streams.next_batch(peer.name, urgent=True)
 
     def fill(self, peer: Peer, batch: peers_pb2.Batch) -> None:
         """Add the request for an immediate answer to an outgoing batch."""
@@ -102,7 +102,7 @@
 
     async def _refresh(self, now: float) -> None:
         for hub in self.request_answers():
-            self._links.outgoing(hub, urgent=True)
+            self._peer_streams.next_batch(hub, urgent=True)
         while self._loop.time() < now + _ANSWER_TIMEOUT_S:
             await asyncio.sleep(_POLL_S)
             self._take_known()
--- a/packages/platform/src/tallyhall_platform/calls.py
+++ b/packages/platform/src/tallyhall_platform/call_counts.py
@@ -72,11 +72,11 @@
         """Create a counter without calls."""
         self._counts: collections.Counter[StoreCall] = collections.Counter()
 
-    def note(self, call: StoreCall) -> None:
+    def record(self, call: StoreCall) -> None:
         """Count one call."""
         self._counts[call] += 1
 
-    def by_labels(self) -> Mapping[tuple[str, str, str], int]:
+    def by_label(self) -> Mapping[tuple[str, str, str], int]:
         """Return the number of calls by kind, cause and outcome."""
         return {
             (call.kind.value, call.cause.value, call.outcome.value): number
--- a/packages/platform/src/tallyhall_platform/history.py
+++ b/packages/platform/src/tallyhall_platform/change_history.py
@@ -16,10 +16,10 @@
 
 # Ten starts of a fleet of 410 instances fill it: half a megabyte with entries
 # of 250 bytes.
-_MOST_KEPT = 2000
+_MAX_CHANGES = 2000
 
 
-class News(msgspec.Struct, frozen=True):
+class ChangeBatch(msgspec.Struct, frozen=True):
     """Changes of the store that one instance sends to another.
 
     Holds every change after the revision `after` up to `revision`.
@@ -30,30 +30,30 @@
     changes: tuple[Change, ...] = ()
 
 
-class History:
+class ChangeHistory:
     """The latest change of each key, oldest first."""
 
     def __init__(self) -> None:
-        """Create an empty history; `begin` sets its base revision."""
+        """Create an empty history; `reset` sets its base revision."""
         self._base_revision: int | None = None
         self._newest_revision = 0
         self._changes: dict[str, Change] = {}
 
-    def begin(self, revision: int) -> None:
+    def reset(self, revision: int) -> None:
         """Restart after a full read of the store at this revision."""
         self._changes.clear()
         self._base_revision = revision
 
-    def note(self, change: Change) -> None:
+    def add(self, change: Change) -> None:
         """Add a change that has been applied."""
         # Removed first, so that the dictionary stays in order of age.
         self._changes.pop(change.key, None)
         self._changes[change.key] = change
         self._newest_revision = max(self._newest_revision, change.revision)
-        if len(self._changes) > _MOST_KEPT:
+        if len(self._changes) > _MAX_CHANGES:
             self._evict_oldest()
 
-    def news(self, after: int, revision: int) -> News | None:
+    def changes_after(self, after: int, revision: int) -> ChangeBatch | None:
         """Return the changes after a revision, None before the first read.
 
         If some of them are no longer kept, the result is empty and starts at
@@ -63,15 +63,15 @@
         if since is None:
             return None
         if after < since:
-            return News(since, revision)
+            return ChangeBatch(since, revision)
         if after >= self._newest_revision:
-            return News(after, revision)
+            return ChangeBatch(after, revision)
         later = tuple(
             change
             for change in self._changes.values()
             if change.revision > after
         )
-        return News(after, revision, later)
+        return ChangeBatch(after, revision, later)
 
     def _evict_oldest(self) -> None:
         oldest = next(iter(self._changes))
--- a/packages/platform/src/tallyhall_platform/ends.py
+++ b/packages/platform/src/tallyhall_platform/end_records.py
@@ -17,12 +17,12 @@
 from tallyhall_core.events import Event
 from tallyhall_core.suspects import KEPT_S, Cleared, UpstreamEnd
 
-from .calls import CallCause
+from .call_counts import CallCause
 from .errors import ConditionFailedError, LeaseEndedError, StoreError
 from .parse import parse_json
 from .store import StoreClient
 
-ENDS_PREFIX = 'tallyhall/ends/'
+END_RECORDS_PREFIX = 'tallyhall/ends/'
 _TRIALS_PREFIX = 'tallyhall/trials/'
 # A lease is reused for new records during this share of its lifetime, so that
 # each record is kept for at least the rest of it.
@@ -41,12 +41,12 @@
     cleared: tuple[Cleared, ...]
 
 
-def decode_ends(raw: bytes) -> EndRecords:
+def decode_end_records(raw: bytes) -> EndRecords:
     """Decode stored records; raise DecodeError."""
     return parse_json(raw, EndRecords)
 
 
-def encode_ends(records: EndRecords) -> bytes:
+def encode_end_records(records: EndRecords) -> bytes:
     """Encode records for the store."""
     return msgspec.json.encode(records)
 
@@ -75,12 +75,12 @@
         self._lease: int | None = None
         self._lease_reused_until: float = 0
 
-    def ended(self, end: UpstreamEnd) -> None:
+    def record_termination(self, end: UpstreamEnd) -> None:
         """Queue the end of an upstream for writing."""
         self._ended.append(end)
         self._has_records.set()
 
-    def cleared(self, cleared: Cleared) -> None:
+    def record_cleared(self, cleared: Cleared) -> None:
         """Queue the record that a suspect request was answered."""
         self._cleared.append(cleared)
         self._has_records.set()
@@ -98,7 +98,7 @@
                 self._client.close()
                 await asyncio.sleep(self._rng.uniform(*_RETRY_PAUSE_RANGE_S))
 
-    async def claim(self, content: str) -> int | None:
+    async def claim_trial(self, content: str) -> int | None:
         """Claim the trial of a request; return its lease, None if taken.
 
         Raises StoreError or TimeoutError if the store does not answer.
@@ -111,7 +111,7 @@
                 return None
         return lease
 
-    async def release(self, lease: int) -> None:
+    async def release_trial(self, lease: int) -> None:
         """Release a claim; if the call fails, its lease expires."""
         try:
             await self._client.end_lease(lease)
@@ -121,8 +121,8 @@
     async def _write(self) -> None:
         lease = await self._current_lease()
         records = EndRecords(tuple(self._ended), tuple(self._cleared))
-        key = f'{ENDS_PREFIX}{self._incarnation}-{self._write_count}'
-        await self._client.put(key, encode_ends(records), lease)
+        key = f'{END_RECORDS_PREFIX}{self._incarnation}-{self._write_count}'
+        await self._client.put(key, encode_end_records(records), lease)
         self._write_count += 1
         # Records queued during the write are kept for the next one.
         self._ended = self._ended[len(records.ended) :]
--- a/packages/platform/src/tallyhall_platform/entries.py
+++ b/packages/platform/src/tallyhall_platform/entries.py
@@ -12,7 +12,7 @@
 from .parse import NonEmptyStr, parse_json
 
 INSTANCE_PREFIX = 'tallyhall/instances/'
-USE_KEY = 'tallyhall/use'
+QUOTA_USE_KEY = 'tallyhall/use'
 # Keys of roll-outs: the operators' orders, their status, and the progress
 # records of the instance that leads one.
 ORDERS_PREFIX = 'op/rollout/'
@@ -54,7 +54,7 @@
     return msgspec.json.encode(entry)
 
 
-def decode_use(raw: bytes) -> Written:
+def decode_quota_use(raw: bytes) -> Written:
     """Decode the stored use of quotas; raise DecodeError.
 
     Maps each workspace to pairs of an age in seconds and the amount that was
@@ -63,6 +63,6 @@
     return parse_json(raw, dict[str, tuple[tuple[_Seconds, float], ...]])
 
 
-def encode_use(use: Written) -> bytes:
+def encode_quota_use(use: Written) -> bytes:
     """Encode the use of quotas for the store."""
     return msgspec.json.encode(use)
--- a/packages/platform/src/tallyhall_platform/follow.py
+++ b/packages/platform/src/tallyhall_platform/follower.py
@@ -6,8 +6,8 @@
 In a large fleet only a few instances, the relays, watch the store. Changes
 are constant there, and each would end a watch of every instance: 1.5 calls a
 second by each of 195. The other instances, the subscribers, get changes from
-the relays (history.py) and read the store themselves only if these are late,
-each after a random delay.
+the relays (change_history.py) and read the store themselves only if these are
+late, each after a random delay.
 """
 
 from __future__ import annotations
@@ -18,8 +18,7 @@
 
 from tallyhall_core.events import Event
 
-from .absence import Absence
-from .calls import CallCause
+from .call_counts import CallCause
 from .errors import (
     HistoryCompactedError,
     StoreError,
@@ -27,6 +26,7 @@
     StoreRefusedError,
     StoreUnavailableError,
 )
+from .outage import OutageTracker
 from .store import StoreClient
 from .view import Listener, Log, StoreView
 
@@ -95,39 +95,41 @@
         listener: Listener,
         log: Log,
         rng: random.Random,
-        absence: Absence,
+        outages: OutageTracker,
         change_s: float,
     ) -> None:
         """Follow through `client`, which must not be shared.
 
         change_s: how long a change may take to be applied.
         """
-        self.view = StoreView(listener, log, absence, change_s)
+        self.view = StoreView(listener, log, outages, change_s)
         self.role = Role.solo
         self._client = client
         self._listener = listener
         self._log = log
         self._rng = rng
-        self._absence = absence
+        self._outages = outages
         self._loop = asyncio.get_running_loop()
         self._reachable = False
         self._failures = 0
         self._jitter_s = rng.uniform(0, _JITTER_S)
 
     @property
-    def ask_s(self) -> float:
+    def poll_interval_s(self) -> float:
         """Return the interval at which a subscriber asks for changes."""
         return min(_MAX_POLL_S, _POLL_SHARE * self.view.change_s)
 
     @property
-    def untold_s(self) -> float:
+    def max_relay_age_s(self) -> float:
         """Return the age of a subscriber's view at which the relays are late.
 
         A watch confirms, when it ends, the state as of its start. Just
         before, the newest confirmation is two watches and a pause old.
         """
         watches_s = 2 * self._relay_watch_s()
-        return watches_s + _WATCH_PAUSE_S + self.ask_s + _RELAY_LATENCY_S
+        return (
+            watches_s + _WATCH_PAUSE_S + self.poll_interval_s + _RELAY_LATENCY_S
+        )
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -158,7 +160,9 @@
         """Wait while relays send changes; return whether they became late."""
         has_waited = False
         while self.role is Role.subscriber and self.view.cursor is not None:
-            due_at = self.view.followed_at + self.untold_s + self._jitter_s
+            due_at = (
+                self.view.complete_as_of + self.max_relay_age_s + self._jitter_s
+            )
             if self._loop.time() >= due_at:
                 self._jitter_s = self._rng.uniform(0, _JITTER_S)
                 return True
@@ -174,12 +178,12 @@
         if cursor is None:
             snapshot = await self._client.snapshot('')
             self._on_answer()
-            self.view.take_all(snapshot, asked_at)
+            self.view.apply_snapshot(snapshot, asked_at)
             return
         wait_s = _PROBE_WAIT_S if relays_are_late else self._watch_s()
         answer = await self._client.watch('', cursor, wait_s)
         self._on_answer()
-        self.view.take_changes(answer, asked_at)
+        self.view.apply_changes(answer, asked_at)
 
     def _cause(self, *, relays_are_late: bool) -> CallCause:
         if self._failures:
@@ -191,7 +195,7 @@
     def _watch_s(self) -> float:
         if not self._reachable:
             return _PROBE_WAIT_S
-        bound_s = self._absence.contact_s - self._client.idle_s()
+        bound_s = self._outages.contact_s - self._client.idle_s()
         watch_s = _WATCH_S
         if self.role is Role.relay:
             watch_s = self._relay_watch_s()
@@ -203,11 +207,11 @@
 
     def _on_answer(self) -> None:
         self._failures = 0
-        self._absence.answered(self._loop.time())
+        self._outages.record_answer(self._loop.time())
         if self._reachable:
             return
         self._reachable = True
-        self._listener.on_store(reachable=True)
+        self._listener.on_store_reachable(reachable=True)
 
     def _on_failure(self, exc: StoreError, asked_at: float) -> float:
         now = self._loop.time()
@@ -215,12 +219,14 @@
         # A store that only limits calls is not down: upstreams keep their
         # entries.
         if isinstance(exc, StoreLimitedError):
-            self._absence.alive(now)
+            self._outages.record_store_alive(now)
         else:
-            self._absence.failed(min(asked_at, self._client.last_worked_at))
+            self._outages.record_failure(
+                min(asked_at, self._client.last_worked_at)
+            )
         if self._reachable and isinstance(exc, StoreUnavailableError):
             self._reachable = False
-            self._listener.on_store(reachable=False)
+            self._listener.on_store_reachable(reachable=False)
         self._log(Event.store_call_failed, cause=str(exc))
         longest = min(
             _MAX_RETRY_PAUSE_S,
--- a/packages/platform/src/tallyhall_platform/dialect.py
+++ b/packages/platform/src/tallyhall_platform/headers.py
@@ -82,7 +82,7 @@
 )
 
 
-class PlatformDialect:
+class PlatformHeaderCodec:
     """Translates between the platform's headers and the product's types."""
 
     id_header = _REQUEST_ID
--- a/packages/platform/src/tallyhall_platform/locate.py
+++ b/packages/platform/src/tallyhall_platform/locate.py
@@ -6,6 +6,6 @@
 from collections.abc import Sequence
 
 
-def encode_addresses(addresses: Sequence[str], keep_s: float) -> bytes:
+def encode_locate_answer(addresses: Sequence[str], keep_s: float) -> bytes:
     """Return the JSON body; callers may cache it for `keep_s` seconds."""
     return json.dumps({'addresses': addresses, 'ttl-s': keep_s}).encode()
--- a/packages/platform/src/tallyhall_platform/absence.py
+++ b/packages/platform/src/tallyhall_platform/outage.py
@@ -27,7 +27,7 @@
 _OUTAGE_FAILURES = 2
 
 
-class Absence:
+class OutageTracker:
     """Tracks store outages, and how long removals are held after one."""
 
     def __init__(self, heartbeat_s: float, contact_s: float) -> None:
@@ -45,7 +45,7 @@
         self._failures = 0
         self._last_worked_at = float('-inf')
 
-    def alive(self, at: float) -> None:
+    def record_store_alive(self, at: float) -> None:
         """Record that the store answered this or another instance."""
         if self._last_answer_at is None:
             self._last_answer_at = at
@@ -56,7 +56,7 @@
             self._entries_may_have_expired = True
         self._last_answer_at = at
 
-    def failed(self, worked_at: float) -> None:
+    def record_failure(self, worked_at: float) -> None:
         """Record that a call of this instance failed.
 
         worked_at: when its connection last worked or was opened, at the
@@ -68,9 +68,9 @@
         self._failures += 1
         self._last_worked_at = worked_at
 
-    def answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Record that a call of this instance was answered."""
-        self.alive(now)
+        self.record_store_alive(now)
         resume_hold = (
             self._failures >= _OUTAGE_FAILURES and self._was_holding_removals()
         )
--- a/packages/platform/src/tallyhall_platform/registry.py
+++ b/packages/platform/src/tallyhall_platform/registration.py
@@ -17,13 +17,13 @@
 from tallyhall_core.events import Event
 from tallyhall_dispatch.quota import Written
 
-from .calls import CallCause
+from .call_counts import CallCause
 from .entries import (
     INSTANCE_PREFIX,
-    USE_KEY,
+    QUOTA_USE_KEY,
     InstanceEntry,
     encode_instance,
-    encode_use,
+    encode_quota_use,
 )
 from .errors import LeaseEndedError, StoreError
 from .store import StoreClient
@@ -34,18 +34,18 @@
 _RENEW_INTERVAL_S = 0.8
 # An instance whose lease expired has not reached the store for at least this
 # long.
-LEAST_UNSEEN_S = _LEASE_S - _RENEW_INTERVAL_S
+MIN_UNREACHABLE_S = _LEASE_S - _RENEW_INTERVAL_S
 _MIN_RETRY_PAUSE_S = 0.2
 _NO_LEASE = 0
 
 
-class UseSource(Protocol):
+class QuotaUseSource(Protocol):
     """Provides the use of quotas, which must survive all processes."""
 
-    def due(self) -> Written | None:
+    def pending(self) -> Written | None:
         """Return the use to write now, None if there is nothing to write."""
 
-    def written(self, use: Written) -> None:
+    def mark_written(self, use: Written) -> None:
         """Record that the store holds this use."""
 
 
@@ -54,7 +54,7 @@
 
     entries: tuple[InstanceEntry, ...]
     # The entries include every change up to this time of the loop's clock.
-    confirmed_at: float
+    complete_as_of: float
 
 
 class Registration:
@@ -66,7 +66,7 @@
         entry: InstanceEntry,
         log: Callable[..., None],
         rng: random.Random,
-        uses: UseSource,
+        uses: QuotaUseSource,
         least_lease_s: float,
         known: KnownEntries | None = None,
     ) -> None:
@@ -93,7 +93,7 @@
         """Keep the entry registered until cancelled."""
         await self._run_periodically(self._step)
 
-    async def leave(self, remaining_s: float) -> None:
+    async def mark_leaving(self, remaining_s: float) -> None:
         """Mark the entry as leaving for the remaining lifetime of the process.
 
         One lease for all of this time costs two calls; renewals would cost
@@ -104,7 +104,7 @@
         self._lease_s = max(self._lease_s, remaining_s)
         await self._run_periodically(self._leaving_step)
 
-    async def end(self, within_s: float) -> None:
+    async def unregister(self, within_s: float) -> None:
         """Remove the entry; if the call fails, its lease expires."""
         try:
             async with asyncio.timeout(within_s):
@@ -136,14 +136,14 @@
             await asyncio.sleep(pause_s)
 
     async def _write_use(self) -> None:
-        use = self._uses.due()
+        use = self._uses.pending()
         if use is None:
             return
         # Without a lease, as it must survive this process.
         self._client.cause = CallCause.use
-        await self._client.put(USE_KEY, encode_use(use), _NO_LEASE)
+        await self._client.put(QUOTA_USE_KEY, encode_quota_use(use), _NO_LEASE)
         self._client.cause = CallCause.steady
-        self._uses.written(use)
+        self._uses.mark_written(use)
 
     async def _leaving_step(self) -> None:
         if not self._is_marked:
@@ -156,7 +156,7 @@
         if self._lease is None:
             await self._register()
         else:
-            await self._client.keep_lease(self._lease)
+            await self._client.renew_lease(self._lease)
             if self._is_entry_missing():
                 await self._write(self._lease)
             await self._write_use()
@@ -170,7 +170,7 @@
         lease is renewed without an error.
         """
         known = self._known
-        if known is None or known.confirmed_at <= self._written_at:
+        if known is None or known.complete_as_of <= self._written_at:
             return False
         own = (self._entry.instance, self._entry.incarnation, False)
         return all(
--- a/packages/platform/src/tallyhall_platform/rollouts.py
+++ b/packages/platform/src/tallyhall_platform/rollouts.py
@@ -18,11 +18,11 @@
     RolloutStatus,
 )
 
-from .calls import CallCause
+from .call_counts import CallCause
 from .entries import ORDERS_PREFIX, RECORDS_PREFIX, STATUS_PREFIX
 from .errors import DecodeError
 from .parse import KebabStruct, NonEmptyStr, parse_json
-from .store import Change, Item, StoreClient, Write
+from .store import Change, ConditionalWrite, Item, StoreClient
 
 
 class _Order(KebabStruct, frozen=True):
@@ -67,7 +67,7 @@
     return key.startswith(ORDERS_PREFIX)
 
 
-def service_of(key: str) -> str:
+def service_of_key(key: str) -> str:
     """Return the service in the key of an order or status, '' for others."""
     for prefix in (ORDERS_PREFIX, STATUS_PREFIX):
         if key.startswith(prefix):
@@ -80,8 +80,8 @@
     if change.content is None:
         return None
     order = parse_json(change.content, _Order)
-    if order.service != service_of(change.key):
-        raise DecodeError(f'service: expected {service_of(change.key)}')
+    if order.service != service_of_key(change.key):
+        raise DecodeError(f'service: expected {service_of_key(change.key)}')
     return RolloutOrder(
         order.service,
         order.target,
@@ -121,7 +121,7 @@
             0 if record is None else record.revision,
         )
 
-    async def write(
+    async def write_record(
         self,
         service: str,
         record: RolloutRecord,
@@ -132,8 +132,8 @@
         Raises ConditionFailedError if the record has changed since it was
         read, or another StoreError.
         """
-        revision = await self._client.swap(
-            Write(
+        revision = await self._client.compare_and_swap(
+            ConditionalWrite(
                 RECORDS_PREFIX + service,
                 msgspec.json.encode(record),
                 stored.record_revision,
@@ -145,15 +145,15 @@
             record_revision=revision,
         )
 
-    async def tell(
+    async def write_status(
         self,
         service: str,
         status: RolloutStatus,
         stored: StoredRollout,
     ) -> StoredRollout:
-        """Write a status if this instance still leads; raises like `write`."""
-        revision = await self._client.swap(
-            Write(
+        """Write a status if still the leader; raises like `write_record`."""
+        revision = await self._client.compare_and_swap(
+            ConditionalWrite(
                 STATUS_PREFIX + service,
                 _encode_status(service, status),
                 stored.status_revision,
--- a/packages/platform/src/tallyhall_platform/store.py
+++ b/packages/platform/src/tallyhall_platform/store.py
@@ -21,7 +21,7 @@
 from tallyhall_edge.errors import EdgeError
 from tallyhall_edge.messages import encode_head
 
-from .calls import CallCause, CallCounts, CallKind, CallOutcome, StoreCall
+from .call_counts import CallCause, CallCounts, CallKind, CallOutcome, StoreCall
 from .errors import (
     ConditionFailedError,
     DecodeError,
@@ -99,7 +99,7 @@
     revision: int
 
 
-class Write(msgspec.Struct, frozen=True):
+class ConditionalWrite(msgspec.Struct, frozen=True):
     """A value to write if its key is at `revision`, 0 if it is new."""
 
     key: str
@@ -217,9 +217,9 @@
         """
         await self._write(key, b'', lease, {key: 0})
 
-    async def swap(
+    async def compare_and_swap(
         self,
-        write: Write,
+        write: ConditionalWrite,
         also_expected: Mapping[str, int] = _NO_CONDITIONS,
     ) -> int:
         """Write a key if its revision is as expected; return the new one.
@@ -246,7 +246,7 @@
         )
         return _decode_answer(answer, _LeaseAnswer).lease
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease; raise LeaseEndedError."""
         path = f'/kv-keep/{lease}'
         answer = await self._call(CallKind.renewal, 'POST', path, {})
@@ -261,7 +261,7 @@
         if answer.status != _NOT_FOUND:
             _check_status(answer)
 
-    def move(self, address: Listening) -> None:
+    def use_address(self, address: Listening) -> None:
         """Use another address, from the next call on."""
         if address != self._address:
             self._address = address
@@ -334,7 +334,7 @@
                 )
                 outcome = _outcome(kind, answer)
             finally:
-                self._counts.note(StoreCall(kind, self.cause, outcome))
+                self._counts.record(StoreCall(kind, self.cause, outcome))
             return answer
 
     async def _exchange(self, raw: bytes, wait_s: float) -> BufferedResponse:
--- a/packages/platform/src/tallyhall_platform/upstreams.py
+++ b/packages/platform/src/tallyhall_platform/upstreams.py
@@ -20,7 +20,7 @@
 UPSTREAM_PREFIX = 'servers/'
 
 
-class Upstreams:
+class UpstreamRegistry:
     """The entries of upstreams, by key."""
 
     def __init__(self) -> None:
@@ -35,18 +35,18 @@
         """Return all registered upstreams."""
         return tuple(entry.upstream for entry in self._entries.values())
 
-    def take(self, key: str, raw: bytes) -> None:
+    def update(self, key: str, raw: bytes) -> None:
         """Store the entry of a key; remove it and raise DecodeError if bad."""
         try:
             entry = decode_upstream(key.removeprefix(UPSTREAM_PREFIX), raw)
         except DecodeError:
-            self.drop(key)
+            self.remove(key)
             raise
         known = self._entries.get(key)
         if known is None or _recency(known) <= _recency(entry):
             self._entries[key] = entry
 
-    def drop(self, key: str) -> bool:
+    def remove(self, key: str) -> bool:
         """Remove the entry of a key; return whether there was one."""
         return self._entries.pop(key, None) is not None
 
--- a/packages/platform/src/tallyhall_platform/view.py
+++ b/packages/platform/src/tallyhall_platform/view.py
@@ -6,7 +6,7 @@
 
 During an outage of the store the last values stay in force. Entries of
 upstreams that expire meanwhile are written again within two seconds of its
-end if the upstream is alive, so removals are held as long as absence.py says
+end if the upstream is alive, so removals are held as long as outage.py says
 so. A held removal is relayed to other instances only once it is applied.
 """
 
@@ -21,27 +21,27 @@
 from tallyhall_dispatch.desired import DesiredState, Upstream
 from tallyhall_dispatch.quota import Written
 
-from .absence import Absence
+from .change_history import ChangeBatch, ChangeHistory
 from .decode import decode_state
-from .ends import ENDS_PREFIX, EndRecords, decode_ends
+from .end_records import END_RECORDS_PREFIX, EndRecords, decode_end_records
 from .entries import (
     INSTANCE_PREFIX,
     ORDERS_PREFIX,
+    QUOTA_USE_KEY,
     RECORDS_PREFIX,
     STATUS_PREFIX,
-    USE_KEY,
     InstanceEntry,
     decode_instance,
-    decode_use,
+    decode_quota_use,
 )
 from .errors import DecodeError
-from .history import History, News
+from .outage import OutageTracker
 from .store import Change, Changes, Snapshot
-from .upstreams import UPSTREAM_PREFIX, Upstreams
+from .upstreams import UPSTREAM_PREFIX, UpstreamRegistry
 
 _STATE_KEY = 'op/config'
 # Keys that matter only to instances that watch the store themselves.
-_NOT_RELAYED = (USE_KEY, RECORDS_PREFIX)
+_NOT_RELAYED = (QUOTA_USE_KEY, RECORDS_PREFIX)
 # Subtracted from `change_s` when a removal is held, for timers that fire late
 # under load and for requests on their way to the upstream.
 _HOLD_MARGIN_S = 0.2
@@ -63,13 +63,13 @@
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
         """Handle the new set of all registered instances."""
 
-    def on_use(self, use: Written) -> None:
+    def on_stored_use(self, use: Written) -> None:
         """Handle the use of quotas that was stored before this run."""
 
-    def on_confirmed(self, asked_at: float) -> None:
+    def on_state_confirmed(self, asked_at: float) -> None:
         """Handle that the desired state was still current at this time."""
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_store_reachable(self, *, reachable: bool) -> None:
         """Handle that the store became unreachable or reachable again."""
 
 
@@ -95,7 +95,7 @@
         self,
         listener: Listener,
         log: Log,
-        absence: Absence,
+        outages: OutageTracker,
         change_s: float,
     ) -> None:
         """Create an empty view.
@@ -104,27 +104,27 @@
         """
         self.change_s = change_s
         # Called with records of upstreams that ended.
-        self.on_ends: Callable[[EndRecords], None] = _ignore_ends
+        self.on_end_records: Callable[[EndRecords], None] = _ignore_end_records
         # Called with each change of a roll-out and the earliest time at which
         # it can have been made.
         self.on_rollout: Callable[[Change, float], None] = _ignore_rollout
         # The view includes everything that the store held at this time of the
         # loop's clock.
-        self.followed_at = float('-inf')
+        self.complete_as_of = float('-inf')
         # All changes up to this revision are known; None before the first
         # full read.
         self.cursor: int | None = None
         # The view was complete up to this time before the answer that is being
         # processed, so the changes in that answer were made later. Unlike
-        # `followed_at`, it is later than the request of the previous answer.
+        # `complete_as_of`, it is later than the request of the previous answer.
         self._complete_at = float('-inf')
         self._listener = listener
         self._log = log
-        self._absence = absence
+        self._outages = outages
         self._loop = asyncio.get_running_loop()
-        self._history = History()
+        self._history = ChangeHistory()
         self._revisions: dict[str, int] = {}
-        self._upstreams = Upstreams()
+        self._upstreams = UpstreamRegistry()
         self._reported_upstreams: tuple[Upstream, ...] = ()
         self._instances: dict[str, InstanceEntry] = {}
         self._held: dict[str, _HeldRemoval] = {}
@@ -139,25 +139,25 @@
             (_STATE_KEY, self._handle_state),
             (UPSTREAM_PREFIX, self._handle_upstream),
             (INSTANCE_PREFIX, self._handle_instance),
-            (USE_KEY, self._handle_use),
-            (ENDS_PREFIX, self._handle_ends),
+            (QUOTA_USE_KEY, self._handle_use),
+            (END_RECORDS_PREFIX, self._handle_end_records),
         )
 
     # -- from the store
 
-    def take_all(self, snapshot: Snapshot, asked_at: float) -> None:
+    def apply_snapshot(self, snapshot: Snapshot, asked_at: float) -> None:
         """Apply a full read of the store."""
         present = {entry.key for entry in snapshot.entries}
         for entry in snapshot.entries:
             self._apply(Change(entry.key, entry.content, entry.revision))
         for key in self._revisions.keys() - present:
             self._apply(Change(key, None, snapshot.revision))
-        self._history.begin(snapshot.revision)
+        self._history.reset(snapshot.revision)
         self.cursor = snapshot.revision
         self._finish_update(asked_at)
         self._complete_at = asked_at
 
-    def take_changes(self, answer: Changes, asked_at: float) -> None:
+    def apply_changes(self, answer: Changes, asked_at: float) -> None:
         """Apply the changes after the cursor."""
         for change in answer.changes:
             self._apply(change)
@@ -167,7 +167,7 @@
 
     # -- exchange with other instances
 
-    def take_news(self, news: News, asked_at: float) -> bool:
+    def apply_relayed(self, news: ChangeBatch, asked_at: float) -> bool:
         """Apply relayed changes; return whether they connect to the cursor.
 
         asked_at: a time on this clock at which the store held no later
@@ -183,14 +183,14 @@
         self._complete_at = max(self._complete_at, asked_at)
         return True
 
-    def news(self, after: int) -> News | None:
+    def changes_after(self, after: int) -> ChangeBatch | None:
         """Return the changes after a revision that are applied here."""
         if self.cursor is None:
             return None
-        return self._history.news(after, self.revision)
+        return self._history.changes_after(after, self.applied_revision)
 
     @property
-    def revision(self) -> int:
+    def applied_revision(self) -> int:
         """Return the revision up to which all changes are applied, or 0."""
         cursor = self.cursor or 0
         held = (held.removal.revision - 1 for held in self._held.values())
@@ -200,7 +200,7 @@
         """Return the current desired state, encoded as in the store."""
         return self._raw_state
 
-    def take_raw_state(self, raw: bytes) -> None:
+    def apply_raw_state(self, raw: bytes) -> None:
         """Apply a desired state that another instance read."""
         try:
             self._handle_state(_STATE_KEY, raw)
@@ -217,8 +217,8 @@
 
     def _finish_update(self, asked_at: float) -> None:
         self._release_removals(self._loop.time())
-        self.followed_at = max(self.followed_at, asked_at)
-        self._listener.on_confirmed(self.followed_at)
+        self.complete_as_of = max(self.complete_as_of, asked_at)
+        self._listener.on_state_confirmed(self.complete_as_of)
 
     def _apply(self, change: Change, *, is_relayed: bool = False) -> None:
         if change.revision <= self._revisions.get(change.key, -1):
@@ -237,7 +237,7 @@
         else:
             self._rejected.discard(change.key)
         if not change.key.startswith(_NOT_RELAYED):
-            self._history.note(change)
+            self._history.add(change)
 
     def _reject(self, key: str, exc: DecodeError) -> None:
         if key in self._rejected:
@@ -261,7 +261,7 @@
         if key not in self._upstreams and key not in self._instances:
             return
         now = self._loop.time()
-        if is_relayed or not self._absence.holds_removals(now):
+        if is_relayed or not self._outages.holds_removals(now):
             self._remove(removal)
             return
         # A removal that has been read must be applied within `change_s`, even
@@ -271,14 +271,14 @@
         self._log(
             Event.removal_held,
             key=key,
-            held_s=round(min(until, self._absence.hold_until) - now, 3),
+            held_s=round(min(until, self._outages.hold_until) - now, 3),
             cause='the store was unavailable',
         )
 
     def _remove(self, removal: Change) -> None:
         self._held.pop(removal.key, None)
-        self._history.note(removal)
-        if self._upstreams.drop(removal.key):
+        self._history.add(removal)
+        if self._upstreams.remove(removal.key):
             self._pending.upstreams = True
         if self._instances.pop(removal.key, None) is not None:
             self._pending.instances = True
@@ -301,10 +301,10 @@
     def _handle_use(self, key: str, content: bytes) -> None:
         # Only the use that was stored before this process started matters.
         if self.cursor is None:
-            self._listener.on_use(decode_use(content))
+            self._listener.on_stored_use(decode_quota_use(content))
 
     def _handle_rollout(self, change: Change) -> None:
-        self._history.note(change)
+        self._history.add(change)
         try:
             self.on_rollout(change, self._complete_at)
         except DecodeError as exc:
@@ -312,13 +312,13 @@
         else:
             self._rejected.discard(change.key)
 
-    def _handle_ends(self, key: str, content: bytes) -> None:
-        self.on_ends(decode_ends(content))
+    def _handle_end_records(self, key: str, content: bytes) -> None:
+        self.on_end_records(decode_end_records(content))
 
     def _handle_upstream(self, key: str, content: bytes) -> None:
         self._held.pop(key, None)
         self._pending.upstreams = True
-        self._upstreams.take(key, content)
+        self._upstreams.update(key, content)
 
     def _notify_listener(self) -> None:
         """Notify the listener once of all changes in the last answer."""
@@ -338,7 +338,7 @@
             self._listener.on_upstreams(upstreams)
 
     def _release_removals(self, now: float) -> None:
-        still_held = self._absence.holds_removals(now)
+        still_held = self._outages.holds_removals(now)
         for held in tuple(self._held.values()):
             if still_held and now < held.until:
                 continue
@@ -356,8 +356,8 @@
         if not self._held:
             return
         release_at = min(held.until for held in self._held.values())
-        if now < self._absence.hold_until:
-            release_at = min(release_at, self._absence.hold_until)
+        if now < self._outages.hold_until:
+            release_at = min(release_at, self._outages.hold_until)
         self._release_timer = self._loop.call_at(
             release_at,
             self._release_removals,
@@ -369,5 +369,5 @@
     """Ignore a change of a roll-out."""
 
 
-def _ignore_ends(records: EndRecords) -> None:
+def _ignore_end_records(records: EndRecords) -> None:
     """Ignore records of ended upstreams."""
--- a/packages/transport/src/tallyhall_transport/loading.py
+++ b/packages/transport/src/tallyhall_transport/loading.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from .streams import Streams
+    from .streams import GrpcStreams
 
 # Switch interval of the interpreter during the import, in seconds. Each wake-up
 # of the event loop waits for the importing thread to yield: 0.8 ms instead of
@@ -22,7 +22,7 @@
 _STREAMS_MODULE = f'{__package__}.streams'
 
 
-async def load_streams() -> type[Streams]:
+async def load_streams() -> type[GrpcStreams]:
     """Return the Streams class, importing it on the first call."""
     if _STREAMS_MODULE in sys.modules:
         return _import_streams()
@@ -34,7 +34,7 @@
         sys.setswitchinterval(_DEFAULT_SWITCH_INTERVAL_S)
 
 
-def _import_streams() -> type[Streams]:
-    from .streams import Streams as Loaded  # noqa: PLC0415, WPS433
+def _import_streams() -> type[GrpcStreams]:
+    from .streams import GrpcStreams as Loaded  # noqa: PLC0415, WPS433
 
     return Loaded
--- a/packages/transport/src/tallyhall_transport/peer.py
+++ b/packages/transport/src/tallyhall_transport/peer.py
@@ -14,31 +14,31 @@
 
     name: str
     incarnation: str = ''
-    heard_at: float = -1
+    last_heard_at: float = -1
     question_us: int = 0
-    answered_at: float = -1
+    echoed_at: float = -1
     leaving: bool = False
     # When the stream to it was opened, None without one.
-    linked_at: float | None = None
+    stream_opened_at: float | None = None
     # Number of instances that it reports to hear directly, with itself.
-    hears: int = 0
+    heard_count: int = 0
     # Whether it knows the use of quotas by all instances; if not, it is sent
     # all of it.
-    knows_use: bool = False
-    told: dict[str, float] = msgspec.field(default_factory=dict)
+    knows_fleet_use: bool = False
+    reported_totals: dict[str, float] = msgspec.field(default_factory=dict)
     # Last returned amounts that were sent, by workspace, and the workspaces
     # that were reported to it as highly used.
-    told_returned: dict[str, float] = msgspec.field(default_factory=dict)
-    told_high: set[str] = msgspec.field(default_factory=set)
+    reported_returns: dict[str, float] = msgspec.field(default_factory=dict)
+    reported_high: set[str] = msgspec.field(default_factory=set)
 
-    def forget_told(self) -> None:
+    def reset_reported(self) -> None:
         """Forget what was sent, so that a new stream sends all of it again."""
-        self.told.clear()
-        self.told_returned.clear()
-        self.told_high.clear()
+        self.reported_totals.clear()
+        self.reported_returns.clear()
+        self.reported_high.clear()
 
 
-class PeerPlace(msgspec.Struct, frozen=True):
+class PeerEndpoint(msgspec.Struct, frozen=True):
     """A peer's address and its processor time in cores.
 
     serves: whether callers are sent to it; only then may it own services.
--- a/packages/transport/src/tallyhall_transport/peer_codec.py
+++ b/packages/transport/src/tallyhall_transport/peer_codec.py
@@ -24,7 +24,7 @@
 _MAX_WAIT_MS = 3_600_000
 
 
-def fill_job(ask: peers_pb2.Ask, job: Job, now: float) -> None:
+def encode_job(ask: peers_pb2.Ask, job: Job, now: float) -> None:
     """Encode a job for which an upstream is requested."""
     ask.key = job.key
     ask.service = job.service
@@ -69,7 +69,7 @@
     )
 
 
-def fill_give_up(give_up: peers_pb2.GiveUp, given_up: GivenUp) -> None:
+def encode_give_up(give_up: peers_pb2.GiveUp, given_up: GivenUp) -> None:
     """Encode the decision that a job cannot be answered in time."""
     give_up.key = given_up.key
     give_up.retry_after_ms = int(given_up.retry_after_s * _MILLI)
@@ -94,7 +94,7 @@
     )
 
 
-def fill_done(
+def encode_done(
     done: peers_pb2.Done,
     key: str,
     service: str,
--- a/packages/transport/src/tallyhall_transport/peers.py
+++ b/packages/transport/src/tallyhall_transport/peer_streams.py
@@ -18,11 +18,11 @@
 from tallyhall_dispatch.topology import beat_s, is_mesh
 
 from .loading import load_streams
-from .peer import Peer, PeerPlace, ReadState
+from .peer import Peer, PeerEndpoint, ReadState
 
 if TYPE_CHECKING:
     from .generated import peers_pb2
-    from .streams import Outbox, Streams
+    from .streams import GrpcStreams, Outbox
 
 # Heartbeat intervals without a batch after which a peer counts as lost.
 _LOST_HEARTBEATS = 3.3
@@ -34,7 +34,7 @@
 FillBatch = Callable[[Peer, 'peers_pb2.Batch'], None]
 
 
-class PeerLinks:
+class PeerStreams:
     """The streams of one instance to its peers."""
 
     def __init__(
@@ -51,11 +51,11 @@
         self.on_opened = on_opened
         self.own_cores: float = 0
         # Number of instances whose use of quotas is known here, with this one.
-        self.hears = 1
+        self.heard_count = 1
         # Those of them that this instance hears directly. Only this number is
         # sent to peers: if hubs repeated each other's totals, these would
         # never shrink.
-        self.hears_directly = 1
+        self.directly_heard_count = 1
         # Whether this instance is a hub, which hears all others of a large
         # fleet.
         self.is_hub = False
@@ -64,8 +64,8 @@
         self._on_batch = on_batch
         self._fill = fill
         self._loop = asyncio.get_running_loop()
-        self._streams: Streams | None = None
-        self._endpoints: dict[str, PeerPlace] = {}
+        self._streams: GrpcStreams | None = None
+        self._endpoints: dict[str, PeerEndpoint] = {}
         self._update_derived_values()
         self._outboxes: dict[str, Outbox] = {}
         self._peers: dict[str, Peer] = {}
@@ -88,7 +88,7 @@
         return 0 if endpoint is None else endpoint.cores
 
     @property
-    def tells_on(self) -> bool:
+    def is_relay(self) -> bool:
         """Return whether this instance relays between other instances."""
         return self.is_hub and not is_mesh(self.instances)
 
@@ -97,11 +97,11 @@
         """Return the number of registered instances, with this one."""
         return len(self._endpoints) + 1
 
-    def answers(self, peer: Peer, now: float) -> bool:
+    def is_connected(self, peer: Peer, now: float) -> bool:
         """Return whether a peer and this instance hear each other."""
-        if now - peer.heard_at >= self.lost_s:
+        if now - peer.last_heard_at >= self.peer_timeout_s:
             return False
-        return now - peer.answered_at < 2 * self.lost_s
+        return now - peer.echoed_at < 2 * self.peer_timeout_s
 
     async def listen(self, address: str, read_state: ReadState) -> None:
         """Listen on the address; raise OSError if it is in use.
@@ -111,14 +111,14 @@
         """
         loaded = await load_streams()
         streams = loaded(self)
-        await streams.listen(address, self.take, read_state)
-        self.use(streams)
+        await streams.listen(address, self.receive, read_state)
+        self.use_streams(streams)
 
-    def use(self, streams: Streams) -> None:
+    def use_streams(self, streams: GrpcStreams) -> None:
         """Open streams through this object from now on."""
         self._streams = streams
 
-    def take_peers(self, endpoints: Mapping[str, PeerPlace]) -> None:
+    def update_peers(self, endpoints: Mapping[str, PeerEndpoint]) -> None:
         """Replace the registered peers."""
         self._endpoints = dict(endpoints)
         self._update_derived_values()
@@ -131,7 +131,7 @@
         for gone in self._peers.keys() - endpoints.keys():
             self._peers.pop(gone)
 
-    def link(self, names: frozenset[str]) -> None:
+    def set_targets(self, names: frozenset[str]) -> None:
         """Keep streams open to these peers and close all others."""
         if self._streams is None:
             return
@@ -140,23 +140,23 @@
         for name in names - self._outboxes.keys():
             self._open_stream(name)
 
-    def outgoing(self, name: str, *, urgent: bool) -> peers_pb2.Batch | None:
+    def next_batch(self, name: str, *, urgent: bool) -> peers_pb2.Batch | None:
         """Return the next batch for a peer, None if it has no stream."""
         outbox = self._outboxes.get(name)
         if outbox is None:
             return None
         if urgent:
-            outbox.filled.set()
+            outbox.has_content.set()
         return outbox.pending
 
-    def fill(self, batch: peers_pb2.Batch, peer: Peer) -> None:
+    def complete_batch(self, batch: peers_pb2.Batch, peer: Peer) -> None:
         """Set the fields that every batch has."""
         if batch.opened:
             batch.sender = self._name
             batch.incarnation = self._incarnation
         batch.question_us = int(self._loop.time() * _MICRO)
         batch.echo_us = peer.question_us
-        batch.hears = self.hears_directly
+        batch.hears = self.directly_heard_count
         self._fill(peer, batch)
 
     async def fetch_state(self, name: str) -> bytes | None:
@@ -174,21 +174,21 @@
         if self._streams is not None:
             await self._streams.close()
 
-    def take(self, batch: peers_pb2.Batch) -> None:
+    def receive(self, batch: peers_pb2.Batch) -> None:
         """Process a received batch."""
         peer = self._peers.setdefault(batch.sender, Peer(batch.sender))
-        peer.heard_at = self._loop.time()
+        peer.last_heard_at = self._loop.time()
         peer.question_us = batch.question_us
         peer.leaving = batch.leaving
-        peer.hears = batch.hears
-        peer.knows_use = batch.knows_use
+        peer.heard_count = batch.hears
+        peer.knows_fleet_use = batch.knows_use
         if batch.sender not in self._outboxes:
             # Its batch may need an answer.
             self._open_stream(batch.sender)
         asked_at = batch.echo_us / _MICRO
         # An echoed timestamp of an earlier run may be ahead of this clock.
         if 0 < asked_at <= self._loop.time():
-            peer.answered_at = max(peer.answered_at, asked_at)
+            peer.echoed_at = max(peer.echoed_at, asked_at)
         self._on_batch(peer, batch)
 
     def _update_derived_values(self) -> None:
@@ -200,21 +200,21 @@
         # All registered instances, with this one.
         self.registered = frozenset((*self._endpoints, self._name))
         # The interval of heartbeats.
-        self.beat_s = beat_s(len(self._endpoints))
+        self.heartbeat_s = beat_s(len(self._endpoints))
         # A peer that was not heard for this long counts as lost.
-        self.lost_s = _LOST_HEARTBEATS * self.beat_s
+        self.peer_timeout_s = _LOST_HEARTBEATS * self.heartbeat_s
         # A stream without an echo for this long is reopened.
-        self.silent_s = _SILENT_HEARTBEATS * self.beat_s
+        self.echo_timeout_s = _SILENT_HEARTBEATS * self.heartbeat_s
 
     def _open_stream(self, name: str) -> None:
         endpoint = self._endpoints.get(name)
         if endpoint is None or self._streams is None:
             return
         peer = self._peers.setdefault(name, Peer(name))
-        peer.linked_at = self._loop.time()
+        peer.stream_opened_at = self._loop.time()
         self._outboxes[name] = self._streams.open(peer, endpoint.address)
 
     def _close_stream(self, name: str) -> None:
         outbox = self._outboxes.pop(name)
-        outbox.peer.linked_at = None
+        outbox.peer.stream_opened_at = None
         outbox.task.cancel()
--- a/packages/transport/src/tallyhall_transport/server.py
+++ b/packages/transport/src/tallyhall_transport/server.py
@@ -14,7 +14,7 @@
 _THREADS = 8
 
 
-class Receiver(link_pb2_grpc.LinkServicer):
+class MessageReceiver(link_pb2_grpc.LinkServicer):
     """Decodes batches; invalid messages are counted and skipped."""
 
     def __init__(
@@ -50,7 +50,7 @@
         return link_pb2.Ack()
 
 
-def start_server(address: str, receiver: Receiver) -> grpc.Server:
+def start_server(address: str, receiver: MessageReceiver) -> grpc.Server:
     """Start a server; raise TransportError if it cannot listen."""
     server = grpc.server(
         futures.ThreadPoolExecutor(_THREADS, 'link'),
--- a/packages/transport/src/tallyhall_transport/streams.py
+++ b/packages/transport/src/tallyhall_transport/streams.py
@@ -53,14 +53,14 @@
     on_opened: Callable[[Peer], None]
 
     @property
-    def beat_s(self) -> float:
+    def heartbeat_s(self) -> float:
         """Return the interval of heartbeats."""
 
     @property
-    def silent_s(self) -> float:
+    def echo_timeout_s(self) -> float:
         """Return the time after which a stream without echoes is reopened."""
 
-    def fill(self, batch: peers_pb2.Batch, peer: Peer) -> None:
+    def complete_batch(self, batch: peers_pb2.Batch, peer: Peer) -> None:
         """Set the fields that every batch has."""
 
 
@@ -142,7 +142,7 @@
         self.peer = peer
         self.address = address
         self.pending = peers_pb2.Batch()
-        self.filled = asyncio.Event()
+        self.has_content = asyncio.Event()
         self._channel: aio.Channel | None = None
         self._owner = owner
         self._loop = asyncio.get_running_loop()
@@ -194,31 +194,31 @@
         write_s = _CONNECT_TIMEOUT_S
         # What was queued before the first stream is sent in its first batch.
         self.pending.opened = True
-        self.peer.forget_told()
+        self.peer.reset_reported()
         self._owner.on_opened(self.peer)
         while True:
             batch = self.pending
             self.pending = peers_pb2.Batch()
-            self.filled.clear()
-            self._owner.fill(batch, self.peer)
+            self.has_content.clear()
+            self._owner.complete_batch(batch, self.peer)
             async with asyncio.timeout(write_s):
                 await call.write(batch)
-            write_s = self._owner.silent_s
+            write_s = self._owner.echo_timeout_s
             self._check_answers(opened_at)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._owner.beat_s):
-                    await self.filled.wait()
+                async with asyncio.timeout(self._owner.heartbeat_s):
+                    await self.has_content.wait()
 
     def _check_answers(self, opened_at: float) -> None:
         now = self._loop.time()
-        silent_s = self._owner.silent_s
+        silent_s = self._owner.echo_timeout_s
         if now - opened_at < _FIRST_ANSWER_TIMEOUT_S + silent_s:
             return
-        if now - self.peer.answered_at > silent_s:
+        if now - self.peer.echoed_at > silent_s:
             raise TransportError('the peer does not answer')
 
 
-class Streams:
+class GrpcStreams:
     """The outgoing and incoming streams of one instance."""
 
     def __init__(self, owner: StreamOwner) -> None:
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -299,7 +299,7 @@
         names = {options.instance for options in self.options}
         known = len(self.store.keys('servers/'))
         for instance in self.instances:
-            await until(lambda: instance.hears == len(names), 10)
+            await until(lambda: instance.heard_count == len(names), 10)
             if is_mesh(len(names)):
                 await until(lambda: instance.live_instances == names)
             await until(lambda: instance.usable_upstreams == known)
--- a/tests/platform/limit_fleet.py
+++ b/tests/platform/limit_fleet.py
@@ -24,8 +24,8 @@
 from tallyhall_entry.shared import SharedScheduler
 from tallyhall_platform.decode import decode_state
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer import Peer, PeerPlace
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer import Peer, PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
 
 from tests.platform.harness import MODEL, desired
 from tests.platform.windows import LIMIT_WINDOW_S, most_in_window
@@ -64,15 +64,15 @@
 
     def __init__(
         self,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         peer: Peer,
         deliver: Callable[[str, peers_pb2.Batch], bool],
     ) -> None:
         self.peer = peer
         self.address = peer.name
         self.pending = peers_pb2.Batch()
-        self.filled = asyncio.Event()
-        self._links = links
+        self.has_content = asyncio.Event()
+        self._peer_streams = peer_streams
         self._deliver = deliver
         self._loop = asyncio.get_running_loop()
         self.task = self._loop.create_task(self._run())
@@ -86,35 +86,38 @@
     async def _run_stream(self) -> None:
         opened_at = self._loop.time()
         self.pending.opened = True
-        self.peer.forget_told()
-        self._links.on_opened(self.peer)
+        self.peer.reset_reported()
+        self._peer_streams.on_opened(self.peer)
         while self._is_answered(opened_at):
             batch = self.pending
             self.pending = peers_pb2.Batch()
-            self.filled.clear()
-            self._links.fill(batch, self.peer)
+            self.has_content.clear()
+            self._peer_streams.complete_batch(batch, self.peer)
             if not self._deliver(self.peer.name, batch):
                 return
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._links.beat_s):
-                    await self.filled.wait()
+                async with asyncio.timeout(self._peer_streams.heartbeat_s):
+                    await self.has_content.wait()
 
     def _is_answered(self, opened_at: float) -> bool:
-        last_answer_at = max(opened_at, self.peer.answered_at)
-        return self._loop.time() - last_answer_at <= self._links.silent_s
+        last_answer_at = max(opened_at, self.peer.echoed_at)
+        return (
+            self._loop.time() - last_answer_at
+            <= self._peer_streams.echo_timeout_s
+        )
 
 
 class _Streams:
     def __init__(
         self,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         deliver: Callable[[str, peers_pb2.Batch], bool],
     ) -> None:
-        self._links = links
+        self._peer_streams = peer_streams
         self._deliver = deliver
 
     def open(self, peer: Peer, address: str) -> _Outbox:
-        return _Outbox(self._links, peer, self._deliver)
+        return _Outbox(self._peer_streams, peer, self._deliver)
 
     async def close(self) -> None:
         """Do nothing: there are no sockets to close."""
@@ -148,7 +151,7 @@
 
     name: str
     run: str
-    links: PeerLinks
+    peer_streams: PeerStreams
     dispatcher: Dispatcher
     scheduler: SharedScheduler
     tasks: list[asyncio.Task[None]] = dataclasses.field(default_factory=list)
@@ -231,7 +234,7 @@
         node = self.nodes.pop(name)
         for task in node.tasks:
             task.cancel()
-        for outbox in node.links._outboxes.values():
+        for outbox in node.peer_streams._outboxes.values():
             outbox.task.cancel()
 
     def start(self, name: str) -> None:
@@ -295,7 +298,7 @@
         )
         schedulers: list[SharedScheduler] = []
         run = f'{name}-{next(self._sequence)}'
-        links = PeerLinks(
+        peer_streams = PeerStreams(
             name,
             run,
             lambda peer, batch: schedulers[0].on_batch(peer, batch),
@@ -304,20 +307,22 @@
             lambda peer: schedulers[0].on_opened(peer),
         )
         streams: Any = _Streams(
-            links,
+            peer_streams,
             functools.partial(self._deliver, name, run),
         )
-        links.use(streams)
-        links.own_cores = 1
+        peer_streams.use_streams(streams)
+        peer_streams.own_cores = 1
         schedulers.append(
-            SharedScheduler(name, dispatcher, links, lambda *_, **_more: None),
+            SharedScheduler(
+                name, dispatcher, peer_streams, lambda *_, **_more: None
+            ),
         )
-        return Node(name, run, links, dispatcher, schedulers[0])
+        return Node(name, run, peer_streams, dispatcher, schedulers[0])
 
     def _start_node(self, node: Node) -> None:
-        node.links.take_peers(
+        node.peer_streams.update_peers(
             {
-                name: PeerPlace(name, 1)
+                name: PeerEndpoint(name, 1)
                 for name in self.names
                 if name != node.name
             },
@@ -331,7 +336,7 @@
         await asyncio.sleep(self.rng.random() * _TICK_S)
         while True:
             node.scheduler.tick()
-            share = node.links.hears / node.links.instances
+            share = node.peer_streams.heard_count / node.peer_streams.instances
             node.scheduler.take_share(share)
             await asyncio.sleep(_TICK_S)
 
@@ -364,4 +369,4 @@
     def _receive(self, receiver: str, batch: peers_pb2.Batch) -> None:
         node = self.nodes.get(receiver)
         if node is not None:
-            node.links.take(batch)
+            node.peer_streams.receive(batch)
--- a/tests/platform/quota_fleet.py
+++ b/tests/platform/quota_fleet.py
@@ -17,15 +17,15 @@
 from tallyhall_dispatch.gate import Gate
 from tallyhall_dispatch.quota_limits import Fleet, QuotaBounds
 from tallyhall_dispatch.retries import RetryLimits
-from tallyhall_entry.knowledge import known
+from tallyhall_entry.knowledge import peer_knowledge
 from tallyhall_entry.logs import EventLog
-from tallyhall_entry.neighbours import Neighbours
-from tallyhall_entry.talk import Talk
-from tallyhall_entry.use_news import UseNews
+from tallyhall_entry.peer_reports import PeerReports
+from tallyhall_entry.peer_tracker import PeerTracker
+from tallyhall_entry.use_refresh import UseRefresher
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer import Peer, PeerPlace
-from tallyhall_transport.peers import PeerLinks
-from tallyhall_transport.streams import Streams
+from tallyhall_transport.peer import Peer, PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
+from tallyhall_transport.streams import GrpcStreams
 
 from tests.platform.harness import log_stream
 from tests.platform.windows import most_in_window
@@ -57,23 +57,23 @@
 
     name: str
     gate: Gate
-    links: PeerLinks
-    talk: Talk
-    use_news: UseNews
-    neighbours: Neighbours
+    peer_streams: PeerStreams
+    peer_reports: PeerReports
+    use_refresher: UseRefresher
+    peer_tracker: PeerTracker
     run: str = ''
     hubs: frozenset[str] = frozenset()
 
     def look(self, now: float) -> None:
         """Update the known state of the fleet."""
-        links = self.links
-        seen = self.neighbours.look(now, leaving=False)
-        size = links.instances
-        links.hears = seen.hears
-        links.hears_directly = seen.hears_directly
+        peer_streams = self.peer_streams
+        seen = self.peer_tracker.update(now, leaving=False)
+        size = peer_streams.instances
+        peer_streams.heard_count = seen.heard_count
+        peer_streams.directly_heard_count = seen.directly_heard_count
         self.hubs = seen.hubs
-        times = known(links, self.name, seen.hubs, now)
-        heard = seen.hears / size
+        times = peer_knowledge(peer_streams, self.name, seen.hubs, now)
+        heard = seen.heard_count / size
         fleet = Fleet(size, heard, times.known_at, times.counted_at)
         self.gate.quotas.take_fleet(fleet)
 
@@ -180,9 +180,9 @@
             self._by_name[node.name] = node
             self._begin(node)
         for other in kept:
-            for name in names & other.links.peers.keys():
-                other.links.peers[name].forget_told()
-                if other.links.peers[name].linked_at is not None:
+            for name in names & other.peer_streams.peers.keys():
+                other.peer_streams.peers[name].reset_reported()
+                if other.peer_streams.peers[name].stream_opened_at is not None:
                     self._at(
                         self.rng.uniform(0.1, 0.6),
                         functools.partial(self.tell, other, name),
@@ -196,11 +196,11 @@
         if self._enter(number, amount):
             return
         node = self.nodes[number]
-        if not node.use_news.is_stale(now):
+        if not node.use_refresher.is_stale(now):
             self.denied += amount * fits
             return
         # The request waits for the answers of the hubs.
-        for hub in sorted(node.use_news.request_answers()):
+        for hub in sorted(node.use_refresher.request_answers()):
             self.tell(node, hub)
         self._at(_ANSWERS_S, lambda: self._ask_again(number, amount))
 
@@ -211,8 +211,8 @@
         pair = (sender.name, receiver)
         batch.opened = pair not in self._opened
         self._opened.add(pair)
-        peer = sender.links.peers.get(receiver) or Peer(receiver)
-        sender.links.fill(batch, peer)
+        peer = sender.peer_streams.peers.get(receiver) or Peer(receiver)
+        sender.peer_streams.complete_batch(batch, peer)
         batch.sender = sender.name
         batch.incarnation = sender.run
         arrives_at = max(
@@ -255,7 +255,7 @@
     def _arrive(self, batch: peers_pb2.Batch, receiver: str) -> None:
         if self._reach(batch.sender, receiver):
             node = self._by_name[receiver]
-            node.links.take(batch)
+            node.peer_streams.receive(batch)
             if batch.answer_now:
                 self.tell(node, batch.sender)
 
@@ -268,9 +268,9 @@
         return int(name[1:]) in self.cut
 
     def _begin(self, node: Node) -> None:
-        node.links.take_peers(
+        node.peer_streams.update_peers(
             {
-                name: PeerPlace(name, 1)
+                name: PeerEndpoint(name, 1)
                 for name in self._names
                 if name != node.name
             },
@@ -279,7 +279,7 @@
         first = self.rng.random()
         self._at(first * _TICK_S, functools.partial(self._tick, node))
         self._at(
-            first * min(_MAX_FIRST_BEAT_S, node.links.beat_s),
+            first * min(_MAX_FIRST_BEAT_S, node.peer_streams.heartbeat_s),
             functools.partial(self._beat, node),
         )
 
@@ -287,18 +287,20 @@
         if self._by_name[node.name] is not node:
             return
         node.look(self._clock.now)
-        for hub in sorted(node.use_news.look(node.hubs)):
+        for hub in sorted(node.use_refresher.poll(node.hubs)):
             self.tell(node, hub)
         self._at(_TICK_S, functools.partial(self._tick, node))
 
     def _beat(self, node: Node) -> None:
         if self._by_name[node.name] is not node:
             return
-        peers = node.links.peers
+        peers = node.peer_streams.peers
         for name in sorted(peers):
-            if peers[name].linked_at is not None:
+            if peers[name].stream_opened_at is not None:
                 self.tell(node, name)
-        self._at(node.links.beat_s, functools.partial(self._beat, node))
+        self._at(
+            node.peer_streams.heartbeat_s, functools.partial(self._beat, node)
+        )
 
     def _at(self, wait_s: float, act: Callable[[], None]) -> None:
         entry = (self._clock.now + wait_s, next(self._order), act)
@@ -333,23 +335,35 @@
             started_at,
         )
         gate.quotas.configure({self._workspace.name: self._workspace})
-        talks: list[Talk] = []
-        use_news: list[UseNews] = []
-        links = PeerLinks(
+        made_reports: list[PeerReports] = []
+        use_refresher: list[UseRefresher] = []
+        peer_streams = PeerStreams(
             name,
             name,
-            lambda peer, batch: _take(talks[0], peer, batch),
-            lambda peer, batch: _fill(talks[0], use_news[0], peer, batch),
+            lambda peer, batch: _take(made_reports[0], peer, batch),
+            lambda peer, batch: _fill(
+                made_reports[0], use_refresher[0], peer, batch
+            ),
             _ignore,
             _ignore,
         )
-        links.use(Streams(links))
-        links.own_cores = 1
-        talks.append(Talk(gate, links, lambda raw: None, self._log))
-        use_news.append(UseNews(links, gate.quotas, _ignore))
+        peer_streams.use_streams(GrpcStreams(peer_streams))
+        peer_streams.own_cores = 1
+        made_reports.append(
+            PeerReports(gate, peer_streams, lambda raw: None, self._log)
+        )
+        use_refresher.append(UseRefresher(peer_streams, gate.quotas, _ignore))
         run = f'{name}-{next(self._order)}'
-        neighbours = Neighbours(name, links)
-        return Node(name, gate, links, talks[0], use_news[0], neighbours, run)
+        peer_tracker = PeerTracker(name, peer_streams)
+        return Node(
+            name,
+            gate,
+            peer_streams,
+            made_reports[0],
+            use_refresher[0],
+            peer_tracker,
+            run,
+        )
 
 
 def simulated() -> Clock:
@@ -360,20 +374,22 @@
     return clock
 
 
-def _take(talk: Talk, peer: Peer, batch: peers_pb2.Batch) -> None:
-    talk.take(peer, batch)
+def _take(
+    peer_reports: PeerReports, peer: Peer, batch: peers_pb2.Batch
+) -> None:
+    peer_reports.take(peer, batch)
     # Done by the job part of a batch in the product.
     peer.incarnation = batch.incarnation
 
 
 def _fill(
-    talk: Talk,
-    use_news: UseNews,
+    peer_reports: PeerReports,
+    use_refresher: UseRefresher,
     peer: Peer,
     batch: peers_pb2.Batch,
 ) -> None:
-    talk.fill(peer, batch)
-    use_news.fill(peer, batch)
+    peer_reports.fill(peer, batch)
+    use_refresher.fill(peer, batch)
 
 
 def _ignore(*_: object) -> None:
--- a/tests/platform/test_asks.py
+++ b/tests/platform/test_asks.py
@@ -30,7 +30,7 @@
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_entry import shared
 from tallyhall_entry.knowledge import PeerKnowledge
-from tallyhall_entry.neighbours import Seen
+from tallyhall_entry.peer_tracker import Seen
 from tallyhall_platform.decode import decode_state
 from tallyhall_transport.generated import peers_pb2
 from tallyhall_transport.peer import Peer
@@ -86,7 +86,7 @@
 ) -> None:
     # All instances share one event loop, whose delays must not count as an
     # unresponsive owner.
-    monkeypatch.setattr(shared, '_ANSWER_S', 5)
+    monkeypatch.setattr(shared, '_OWNER_TIMEOUT_S', 5)
     async with deployment(6) as made:
         engine = await made.add_engine('model-0', event_s=0.02)
         await made.ready()
@@ -149,15 +149,15 @@
         send: Callable[[str, str, bytes], None],
     ) -> None:
         self.instances = 87
-        self.lost_s = 3.5
-        self.hears = 1
-        self.hears_directly = 1
+        self.peer_timeout_s = 3.5
+        self.heard_count = 1
+        self.directly_heard_count = 1
         self.peers: dict[str, Peer] = {}
         self.pending: dict[str, peers_pb2.Batch] = {}
         self._name = name
         self._send = send
 
-    def outgoing(self, name: str, *, urgent: bool) -> peers_pb2.Batch:
+    def next_batch(self, name: str, *, urgent: bool) -> peers_pb2.Batch:
         batch = self.pending.setdefault(name, peers_pb2.Batch())
         if urgent:
             asyncio.get_running_loop().call_soon(self.flush, name)
@@ -172,13 +172,13 @@
         self._send(self._name, name, batch.SerializeToString())
 
 
-class _Neighbours:
+class _StaticPeerTracker:
     """Considers all four owners live, even if they are unresponsive."""
 
     def __init__(self, name: str, links: object) -> None:
         """Ignore the arguments."""
 
-    def look(self, now: float, *, leaving: bool) -> Seen:
+    def update(self, now: float, *, leaving: bool) -> Seen:
         return Seen(frozenset(_OWNERS), frozenset(_OWNERS), 5, 5)
 
 
@@ -190,8 +190,8 @@
         monkeypatch: pytest.MonkeyPatch,
         names: tuple[str, ...],
     ) -> None:
-        monkeypatch.setattr(shared, 'Neighbours', _Neighbours)
-        monkeypatch.setattr(shared, 'known', _no_knowledge)
+        monkeypatch.setattr(shared, 'PeerTracker', _StaticPeerTracker)
+        monkeypatch.setattr(shared, 'peer_knowledge', _no_knowledge)
         self.late_s: dict[str, float] = {}
         self.lost: set[str] = set()
         self.sent: list[tuple[str, str]] = []
@@ -228,7 +228,7 @@
         """Send a heartbeat between all instances."""
         for name, links in self.links.items():
             for other in self.links.keys() - {name}:
-                links.outgoing(other, urgent=False)
+                links.next_batch(other, urgent=False)
                 links.flush(other)
 
     async def run(self, for_s: float) -> None:
@@ -249,9 +249,9 @@
     def _take(self, sender: str, to: str, batch: peers_pb2.Batch) -> None:
         peer = self.links[to].peers[sender]
         now = asyncio.get_running_loop().time()
-        peer.heard_at = now
+        peer.last_heard_at = now
         peer.question_us = batch.question_us
-        peer.answered_at = max(peer.answered_at, batch.echo_us / 1e6)
+        peer.echoed_at = max(peer.echoed_at, batch.echo_us / 1e6)
         batch.incarnation = sender
         self.schedulers[to].on_batch(peer, batch)
 
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -24,7 +24,7 @@
 from tallyhall_bench.ports import free_ports
 from tallyhall_dispatch.options import Listening
 from tallyhall_entry.instance import Instance
-from tallyhall_platform.entries import USE_KEY, decode_use
+from tallyhall_platform.entries import QUOTA_USE_KEY, decode_quota_use
 from tallyhall_platform.store import StoreClient
 from tallyhall_standins.platform_engine import EngineFault, EngineStandIn
 
@@ -129,7 +129,7 @@
     async with deployment(_FLEET_SIZE) as cluster:
         await cluster.ready()
         async with _stopping(cluster.instances):
-            assert [instance.hears for instance in cluster.instances] == [
+            assert [instance.heard_count for instance in cluster.instances] == [
                 _FLEET_SIZE
             ] * _FLEET_SIZE
             assert [instance.counts for instance in cluster.instances] == [
@@ -235,7 +235,7 @@
 
 
 def _peer_counts(instances: list[Instance]) -> list[tuple[int, int]]:
-    return [(instance.hears, instance.counts) for instance in instances]
+    return [(instance.heard_count, instance.counts) for instance in instances]
 
 
 async def test_what_stopping_instances_admit_is_written() -> None:
@@ -261,10 +261,10 @@
 
 async def _read_stored_usage(cluster: Deployment) -> dict[str, float]:
     client = StoreClient(cluster.options[0].store.address)
-    snapshot = await client.snapshot(USE_KEY)
+    snapshot = await client.snapshot(QUOTA_USE_KEY)
     client.close()
     uses: dict[str, float] = {'shop': 0}
     for kept in snapshot.entries:
-        for name, parts in decode_use(kept.content).items():
+        for name, parts in decode_quota_use(kept.content).items():
             uses[name] = sum(amount for _, amount in parts)
     return uses
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -103,7 +103,7 @@
     async with deployment(2, revoke_s=4.3) as made:
         await made.add_engine('plain-0', PLAIN)
         await made.ready()
-        made.instances[0].lose_store()
+        made.instances[0].stop_following_store()
         await asyncio.sleep(3.3)
         answer = await made.caller().ask('/safe/x', 'r1')
         assert answer.status == 200
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 from tallyhall_core.events import Event
 from tallyhall_platform.decode import decode_state, decode_upstream
-from tallyhall_platform.ends import decode_ends
-from tallyhall_platform.entries import decode_instance, decode_use
+from tallyhall_platform.end_records import decode_end_records
+from tallyhall_platform.entries import decode_instance, decode_quota_use
 from tallyhall_platform.errors import DecodeError
-from tallyhall_platform.upstreams import Upstreams
+from tallyhall_platform.upstreams import UpstreamRegistry
 
 from tests.platform.harness import MODEL, TOKENS, Deployment, deployment, until
 
@@ -126,8 +126,8 @@
     lambda raw: decode_upstream('i-1', raw),
     lambda raw: decode_instance('entry-1', raw),
     decode_state,
-    decode_use,
-    decode_ends,
+    decode_quota_use,
+    decode_end_records,
 ]
 
 
@@ -192,13 +192,13 @@
 
 
 def test_an_invalid_entry_removes_the_upstream() -> None:
-    upstreams = Upstreams()
-    upstreams.take('servers/i-2', json.dumps(_VALID).encode())
-    upstreams.take(_KEY, json.dumps(_VALID).encode())
+    upstreams = UpstreamRegistry()
+    upstreams.update('servers/i-2', json.dumps(_VALID).encode())
+    upstreams.update(_KEY, json.dumps(_VALID).encode())
     with pytest.raises(DecodeError):
-        upstreams.take(_KEY, b'{}')
+        upstreams.update(_KEY, b'{}')
     assert [upstream.name for upstream in upstreams.all()] == ['i-2']
-    upstreams.take(_KEY, json.dumps(_VALID).encode())
+    upstreams.update(_KEY, json.dumps(_VALID).encode())
     assert len(upstreams.all()) == 2
 
 
--- a/tests/platform/test_guard.py
+++ b/tests/platform/test_guard.py
@@ -16,19 +16,19 @@
 from tallyhall_dispatch.options import Listening
 from tallyhall_entry.guard import SharedGuard
 from tallyhall_entry.logs import EventLog
-from tallyhall_platform.ends import (
-    ENDS_PREFIX,
+from tallyhall_platform.end_records import (
+    END_RECORDS_PREFIX,
     EndRecorder,
     EndRecords,
-    decode_ends,
-    encode_ends,
+    decode_end_records,
+    encode_end_records,
 )
 from tallyhall_platform.errors import StoreError
 from tallyhall_platform.store import StoreClient
 from tallyhall_standins.platform_store import StoreFault, StoreStandIn
 from tallyhall_transport.generated import peers_pb2
 from tallyhall_transport.peer import Peer
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 from tests.platform.harness import HOST, log_stream, until
 
@@ -73,17 +73,19 @@
     sent: dict[str, peers_pb2.Batch] = dataclasses.field(default_factory=dict)
     is_hub: bool = False
 
-    tells_on = PeerLinks.tells_on
+    is_relay = PeerStreams.is_relay
 
-    def outgoing(self, name: str, *, urgent: bool) -> peers_pb2.Batch:
+    def next_batch(self, name: str, *, urgent: bool) -> peers_pb2.Batch:
         assert urgent
         return self.sent.setdefault(name, peers_pb2.Batch())
 
 
-def _guard(recorder: EndRecorder, links: _Links | None = None) -> SharedGuard:
-    links = links or _Links(1, {})
+def _guard(
+    recorder: EndRecorder, peer_streams: _Links | None = None
+) -> SharedGuard:
+    peer_streams = peer_streams or _Links(1, {})
     return SharedGuard(
-        cast(PeerLinks, links),
+        cast(PeerStreams, peer_streams),
         recorder,
         EventLog(log_stream()),
         lambda: _NOW_S,
@@ -133,15 +135,15 @@
         guard = _guard(recorder)
         guard.take_stored(_records(2))
         guard.answered('x')
-        await until(lambda: bool(store.keys(ENDS_PREFIX)))
+        await until(lambda: bool(store.keys(END_RECORDS_PREFIX)))
         writing.cancel()
         other = _guard(recorder)
         other.take_stored(_records(3))
         with pytest.raises(RefusedError):
             other.check('x')
-        snapshot = await StoreClient(address).snapshot(ENDS_PREFIX)
+        snapshot = await StoreClient(address).snapshot(END_RECORDS_PREFIX)
         for entry in snapshot.entries:
-            other.take_stored(decode_ends(entry.content))
+            other.take_stored(decode_end_records(entry.content))
         other.check('x')
 
 
@@ -152,27 +154,27 @@
         writing = asyncio.create_task(recorder.run())
         for fault in (StoreFault.refuses, StoreFault.resets):
             store.fault = fault
-            recorder.ended(_records(1).ended[0])
+            recorder.record_termination(_records(1).ended[0])
             await asyncio.sleep(0.05)
         store.fault = StoreFault.none
-        recorder.ended(_records(2).ended[0])
+        recorder.record_termination(_records(2).ended[0])
         await until(lambda: len(_stored(store)) == 3)
         writing.cancel()
 
 
 def _stored(store: StoreStandIn) -> list[UpstreamEnd]:
-    stored = [store.item(key) for key in store.keys(ENDS_PREFIX)]
+    stored = [store.item(key) for key in store.keys(END_RECORDS_PREFIX)]
     return [
         end
         for kept in stored
         if kept is not None
-        for end in decode_ends(base64.b64decode(kept.text)).ended
+        for end in decode_end_records(base64.b64decode(kept.text)).ended
     ]
 
 
 def test_encoded_records_decode_to_the_same() -> None:
     records = _records(3)
-    assert decode_ends(encode_ends(records)) == records
+    assert decode_end_records(encode_end_records(records)) == records
 
 
 async def test_hubs_forward_new_records() -> None:
@@ -225,14 +227,14 @@
     def __init__(self, size: int, recorder: EndRecorder) -> None:
         """Create all instances; the first ones are hubs."""
         names = [f'n{number}' for number in range(size)]
-        self.links: list[_Links] = []
+        self.peer_streams: list[_Links] = []
         self.guards: list[SharedGuard] = []
         for number, name in enumerate(names):
             linked = names if number < _HUBS else names[:_HUBS]
             peers = {one: Peer(one) for one in linked if one != name}
-            self.links.append(_Links(size, peers))
-            guard = _guard(recorder, self.links[-1])
-            self.links[-1].is_hub = number < _HUBS
+            self.peer_streams.append(_Links(size, peers))
+            guard = _guard(recorder, self.peer_streams[-1])
+            self.peer_streams[-1].is_hub = number < _HUBS
             self.guards.append(guard)
 
     def sees_end(self, number: int, run: EndedRun) -> None:
@@ -243,9 +245,9 @@
     def deliver(self) -> int:
         """Deliver all batches to their receivers; return their number."""
         sent = 0
-        for number, links in enumerate(self.links):
-            batches = links.sent
-            links.sent = {}
+        for number, peer_streams in enumerate(self.peer_streams):
+            batches = peer_streams.sent
+            peer_streams.sent = {}
             for name, batch in batches.items():
                 sent += 1
                 receiver = self.guards[int(name[1:])]
@@ -265,6 +267,6 @@
         recorder = _recorder(address)
         store.fault = StoreFault.loses_answers
         with pytest.raises(StoreError):
-            await recorder.claim('x')
+            await recorder.claim_trial('x')
         store.fault = StoreFault.none
-        assert await recorder.claim('x') is not None
+        assert await recorder.claim_trial('x') is not None
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from tallyhall_edge.dialect import UpstreamRequestInfo
 from tallyhall_edge.messages import Headers, RequestHead
-from tallyhall_platform.dialect import PlatformDialect
+from tallyhall_platform.headers import PlatformHeaderCodec
 
 from tests.platform.harness import TOKENS, deployment
 
@@ -115,4 +115,4 @@
 
 def _upstream_headers(sent: Headers) -> Headers:
     head = RequestHead(b'POST', b'/stream/x', sent)
-    return PlatformDialect().upstream_headers(head, 5, _INFO)
+    return PlatformHeaderCodec().upstream_headers(head, 5, _INFO)
--- a/tests/platform/test_late_writes.py
+++ b/tests/platform/test_late_writes.py
@@ -21,7 +21,7 @@
 from tallyhall_dispatch.quota import Written
 from tallyhall_platform.entries import InstanceEntry
 from tallyhall_platform.errors import StoreError, StoreUnavailableError
-from tallyhall_platform.registry import Registration
+from tallyhall_platform.registration import Registration
 from tallyhall_platform.store import StoreClient
 from tallyhall_standins.platform_store import StoreStandIn
 
@@ -41,7 +41,7 @@
         late = old.drop_next_write()
         with old.leaving():
             await until(lambda: _is_leaving(made.store))
-        await old.registration.end(0.2)
+        await old.registration.unregister(0.2)
         assert not made.store.keys(_KEY)
         new = _Process(made, 'new')
         with new.running():
@@ -106,10 +106,10 @@
 class _NoUse:
     """A source without any use of quotas."""
 
-    def due(self) -> Written | None:
+    def pending(self) -> Written | None:
         """Return None: there is nothing to write."""
 
-    def written(self, use: Written) -> None:
+    def mark_written(self, use: Written) -> None:
         """Ignore the call."""
 
 
@@ -137,7 +137,7 @@
     @contextlib.contextmanager
     def leaving(self) -> Iterator[None]:
         """Mark the entry as leaving inside the context."""
-        task = asyncio.create_task(self.registration.leave(8))
+        task = asyncio.create_task(self.registration.mark_leaving(8))
         yield
         task.cancel()
 
--- a/tests/platform/test_lateness.py
+++ b/tests/platform/test_lateness.py
@@ -14,7 +14,7 @@
 from tallyhall_edge.lateness import lateness
 from tallyhall_edge.request_context import RequestContext, record_send
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer_codec import decode_give_up, fill_give_up
+from tallyhall_transport.peer_codec import decode_give_up, encode_give_up
 
 _OBJECTIVE_S = 0.5
 _ROUTE = Route(
@@ -101,7 +101,7 @@
 ) -> None:
     message = peers_pb2.GiveUp()
     original = GivenUp('one/1', retry_s, Outlook(ahead, wait_s, rate, free))
-    fill_give_up(message, original)
+    encode_give_up(message, original)
     sent = message.SerializeToString()
     decoded = decode_give_up(peers_pb2.GiveUp.FromString(sent))
     assert decoded.key == original.key
--- a/tests/platform/test_talk.py
+++ b/tests/platform/test_peer_reports.py
@@ -30,10 +30,10 @@
 from tallyhall_dispatch.quota_limits import QuotaBounds
 from tallyhall_dispatch.retries import RetryLimits
 from tallyhall_entry.logs import EventLog
-from tallyhall_entry.talk import Talk
+from tallyhall_entry.peer_reports import PeerReports
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer import Peer, PeerPlace
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer import Peer, PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
 
 from tests.platform.harness import log_stream
 
@@ -47,8 +47,8 @@
 class _Node:
     name: str
     gate: Gate
-    talk: Talk
-    links: PeerLinks
+    peer_reports: PeerReports
+    peer_streams: PeerStreams
     peers: dict[str, Peer] = dataclasses.field(default_factory=dict)
 
     def peer(self, name: str) -> Peer:
@@ -60,12 +60,12 @@
         batch = peers_pb2.Batch(
             sender=self.name,
             incarnation=self.name,
-            hears=self.links.hears,
+            hears=self.peer_streams.heard_count,
         )
-        self.talk.fill(self.peer(other.name), batch)
+        self.peer_reports.fill(self.peer(other.name), batch)
         heard = other.peer(self.name)
-        heard.knows_use = batch.knows_use
-        other.talk.take(heard, batch)
+        heard.knows_fleet_use = batch.knows_use
+        other.peer_reports.take(heard, batch)
 
 
 def _node(name: str, started_at: float) -> _Node:
@@ -78,12 +78,14 @@
     )
     workspace = Workspace('w', None, 100, 50, True, 1)
     gate.quotas.configure({'w': workspace})
-    links = PeerLinks(name, name, _ignore, _ignore, _ignore, _ignore)
-    links.take_peers(
-        {other: PeerPlace('', 1) for other in _NAMES if other != name},
+    peer_streams = PeerStreams(name, name, _ignore, _ignore, _ignore, _ignore)
+    peer_streams.update_peers(
+        {other: PeerEndpoint('', 1) for other in _NAMES if other != name},
     )
-    talk = Talk(gate, links, lambda raw: None, EventLog(log_stream()))
-    return _Node(name, gate, talk, links)
+    peer_reports = PeerReports(
+        gate, peer_streams, lambda raw: None, EventLog(log_stream())
+    )
+    return _Node(name, gate, peer_reports, peer_streams)
 
 
 def _ignore(*_: object) -> None:
@@ -95,7 +97,7 @@
     now = asyncio.get_running_loop().time()
     old = [_node('a', now - 100), _node('b', now - 100)]
     for node in old:
-        node.links.hears = len(_NAMES)
+        node.peer_streams.heard_count = len(_NAMES)
         assert not node.gate.quotas.take('w', 200, now)
     for sender in old:
         for other in old:
@@ -118,7 +120,7 @@
     assert not partial.gate.quotas.take('w', 100, now)
     assert not complete.gate.quotas.take('w', 400, now)
     partial.report_to(complete)
-    complete.links.hears = len(_NAMES)
+    complete.peer_streams.heard_count = len(_NAMES)
     restarted = _node('c', now)
     restarted.gate.quotas.recall({'w': ((0, 800),)}, now)
     partial.report_to(restarted)
@@ -139,7 +141,7 @@
     now = asyncio.get_running_loop().time()
     old, third = _node('a', now - 100), _node('b', now - 100)
     assert not old.gate.quotas.take('w', 400, now)
-    old.links.hears = len(_NAMES)
+    old.peer_streams.heard_count = len(_NAMES)
     restarted = _node('c', now)
     assert not restarted.gate.quotas.take('w', 200, now)
     restarted.report_to(old)
@@ -160,7 +162,7 @@
     old = [_node('a', now - 100), _node('b', now - 100)]
     restarted = _node('c', now)
     for node in old:
-        node.links.hears = len(_NAMES)
+        node.peer_streams.heard_count = len(_NAMES)
     old[0].report_to(restarted)
     old[1].report_to(restarted)
     await asyncio.sleep(_TWO_REPORTS_S)
@@ -181,7 +183,7 @@
     for first in old:
         first.report_to(restarted)
     await asyncio.sleep(_TWO_REPORTS_S)
-    old[0].links.hears = len(_NAMES)
+    old[0].peer_streams.heard_count = len(_NAMES)
     old[0].report_to(restarted)
     assert not restarted.gate.quotas.take('w', _LIMIT - 401, now + 0.5)
     assert restarted.gate.quotas.take('w', 10, now + 0.5) > 0
@@ -199,7 +201,7 @@
     await asyncio.sleep(_TWO_REPORTS_S)
     assert not other.gate.quotas.take('w', 100, now + 0.4)
     other.report_to(restarted)
-    sender.links.hears = len(_NAMES)
+    sender.peer_streams.heard_count = len(_NAMES)
     sender.report_to(restarted)
     assert restarted.gate.quotas.knows_past(now + 0.5)
     assert restarted.gate.quotas.take('w', _LIMIT - 199, now + 0.5) > 0
@@ -211,7 +213,7 @@
     old = [_node('a', now - 100), _node('b', now - 100)]
     restarted = _node('c', now)
     for node in old:
-        node.links.hears = len(_NAMES)
+        node.peer_streams.heard_count = len(_NAMES)
         node.report_to(restarted)
     await asyncio.sleep(_TWO_REPORTS_S)
     old[0].report_to(restarted)
--- a/tests/platform/test_links.py
+++ b/tests/platform/test_peer_streams.py
@@ -13,8 +13,8 @@
 
 from tallyhall_bench.ports import free_ports
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer import PeerPlace
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer import PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
 
 from tests.platform.harness import HOST, until
 
@@ -27,14 +27,14 @@
     return b''
 
 
-def _links(name: str, incarnation: str) -> PeerLinks:
-    return PeerLinks(name, incarnation, _ignore, _ignore, _ignore, _ignore)
+def _peer_streams(name: str, incarnation: str) -> PeerStreams:
+    return PeerStreams(name, incarnation, _ignore, _ignore, _ignore, _ignore)
 
 
 async def test_the_switch_interval_is_restored_after_loading() -> None:
     """Even if two imports overlap; a short interval slows every wake-up."""
     default_s = sys.getswitchinterval()
-    one, other = _links('a', 'a1'), _links('b', 'b1')
+    one, other = _peer_streams('a', 'a1'), _peer_streams('b', 'b1')
     first, second = (f'{HOST}:{port}' for port in free_ports(2))
     await asyncio.gather(
         one.listen(first, _no_state),
@@ -48,21 +48,23 @@
 async def test_a_stream_is_reopened_to_a_restarted_peer() -> None:
     """The peer may stay registered, so nothing else reopens the stream."""
     first, second = (f'{HOST}:{port}' for port in free_ports(2))
-    one, other = _links('a', 'a1'), _links('b', 'b1')
+    one, other = _peer_streams('a', 'a1'), _peer_streams('b', 'b1')
     await one.listen(first, _no_state)
     await other.listen(second, _no_state)
-    one.take_peers({'b': PeerPlace(second, 1)})
-    other.take_peers({'a': PeerPlace(first, 1)})
-    one.link(frozenset('b'))
-    other.link(frozenset('a'))
-    await until(lambda: one.peers['b'].answered_at > 0)
+    one.update_peers({'b': PeerEndpoint(second, 1)})
+    other.update_peers({'a': PeerEndpoint(first, 1)})
+    one.set_targets(frozenset('b'))
+    other.set_targets(frozenset('a'))
+    await until(lambda: one.peers['b'].echoed_at > 0)
     await other.close()
     await asyncio.sleep(0.5)
-    again = _links('b', 'b2')
+    again = _peer_streams('b', 'b2')
     await again.listen(second, _no_state)
-    again.take_peers({'a': PeerPlace(first, 1)})
-    again.link(frozenset('a'))
-    await until(lambda: 'a' in again.peers and again.peers['a'].heard_at > 0, 3)
+    again.update_peers({'a': PeerEndpoint(first, 1)})
+    again.set_targets(frozenset('a'))
+    await until(
+        lambda: 'a' in again.peers and again.peers['a'].last_heard_at > 0, 3
+    )
     await one.close()
     await again.close()
 
@@ -75,11 +77,11 @@
     to others.
     """
     now = asyncio.get_running_loop().time()
-    links = _links('a', 'a2')
+    peer_streams = _peer_streams('a', 'a2')
     batch = peers_pb2.Batch(sender='b', incarnation='b1')
     batch.echo_us = int((now + 5000) * 1_000_000)
-    links.take(batch)
-    assert links.peers['b'].answered_at < 0
+    peer_streams.receive(batch)
+    assert peer_streams.peers['b'].echoed_at < 0
     batch.echo_us = int(now * 1_000_000)
-    links.take(batch)
-    assert links.peers['b'].answered_at > 0
+    peer_streams.receive(batch)
+    assert peer_streams.peers['b'].echoed_at > 0
--- a/tests/platform/test_neighbours.py
+++ b/tests/platform/test_peer_tracker.py
@@ -15,13 +15,13 @@
 from typing import cast
 
 from tallyhall_edge.scheduling import Dispatcher
-from tallyhall_entry.knowledge import known
+from tallyhall_entry.knowledge import peer_knowledge
 from tallyhall_entry.shared import SharedScheduler
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer import Peer, PeerPlace
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer import Peer, PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
 
-_CLOSED = PeerPlace('127.0.0.1:1', 1)
+_CLOSED = PeerEndpoint('127.0.0.1:1', 1)
 _LARGE_FLEET = 18
 
 
@@ -34,20 +34,20 @@
 
     answer: the count that each responding peer reports.
     """
-    links = PeerLinks('n0', 'n0', _ignore, _ignore, _ignore, _ignore)
+    peer_streams = PeerStreams('n0', 'n0', _ignore, _ignore, _ignore, _ignore)
     names = [f'n{number}' for number in range(1, others + 1)]
-    links.take_peers(dict.fromkeys(names, _CLOSED))
+    peer_streams.update_peers(dict.fromkeys(names, _CLOSED))
     dispatcher = Dispatcher(random.Random(1))
-    scheduler = SharedScheduler('n0', dispatcher, links, _ignore)
+    scheduler = SharedScheduler('n0', dispatcher, peer_streams, _ignore)
     now = asyncio.get_running_loop().time()
     for name, hears in answer.items():
-        peer = Peer(name, heard_at=now, answered_at=now, hears=hears)
-        cast(dict[str, Peer], links.peers)[name] = peer
+        peer = Peer(name, last_heard_at=now, echoed_at=now, heard_count=hears)
+        cast(dict[str, Peer], peer_streams.peers)[name] = peer
     scheduler.tick()
     batch = peers_pb2.Batch()
-    links.fill(batch, Peer('n1'))
-    await links.close()
-    return [links.hears, batch.hears]
+    peer_streams.complete_batch(batch, Peer('n1'))
+    await peer_streams.close()
+    return [peer_streams.heard_count, batch.hears]
 
 
 async def test_a_small_fleet_counts_only_directly_heard_peers() -> None:
@@ -65,13 +65,23 @@
 
 async def test_a_former_hub_forwards_nothing() -> None:
     """It still answers, but other instances get reports only from hubs."""
-    links = PeerLinks('n0', 'n0', _ignore, _ignore, _ignore, _ignore)
+    peer_streams = PeerStreams('n0', 'n0', _ignore, _ignore, _ignore, _ignore)
     names = [f'n{number}' for number in range(1, _LARGE_FLEET)]
-    links.take_peers(dict.fromkeys(names, _CLOSED))
+    peer_streams.update_peers(dict.fromkeys(names, _CLOSED))
     now = asyncio.get_running_loop().time()
-    peers = cast(dict[str, Peer], links.peers)
-    peers['n1'] = Peer('n1', heard_at=now, answered_at=now - 0.1)
-    peers['n2'] = Peer('n2', heard_at=now, answered_at=now)
-    assert known(links, 'n0', frozenset(('n1',)), now).counted_at == now - 0.1
-    assert known(links, 'n0', frozenset(('n0', 'n1')), now).counted_at == now
-    assert known(links, 'n0', frozenset(), now).counted_at is None
+    peers = cast(dict[str, Peer], peer_streams.peers)
+    peers['n1'] = Peer('n1', last_heard_at=now, echoed_at=now - 0.1)
+    peers['n2'] = Peer('n2', last_heard_at=now, echoed_at=now)
+    assert (
+        peer_knowledge(peer_streams, 'n0', frozenset(('n1',)), now).counted_at
+        == now - 0.1
+    )
+    assert (
+        peer_knowledge(
+            peer_streams, 'n0', frozenset(('n0', 'n1')), now
+        ).counted_at
+        == now
+    )
+    assert (
+        peer_knowledge(peer_streams, 'n0', frozenset(), now).counted_at is None
+    )
--- a/tests/platform/test_rests.py
+++ b/tests/platform/test_rests.py
@@ -8,7 +8,7 @@
 from tallyhall_dispatch.refusing import GivenUp
 from tallyhall_dispatch.rests import Rests
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer_codec import decode_job, fill_job
+from tallyhall_transport.peer_codec import decode_job, encode_job
 
 _REST_S = 3.0
 
@@ -69,5 +69,5 @@
 
 def test_backoff_ends_are_converted_to_the_clock_of_the_owner() -> None:
     ask = peers_pb2.Ask()
-    fill_job(ask, _job('told', {'u': 103}), 100)
+    encode_job(ask, _job('told', {'u': 103}), 100)
     assert decode_job(ask, 7).resting == {'u': 10}
--- a/tests/platform/test_rollout_orders.py
+++ b/tests/platform/test_rollout_orders.py
@@ -20,7 +20,7 @@
     decode_order,
     decode_status,
 )
-from tallyhall_platform.store import Change, StoreClient, Write
+from tallyhall_platform.store import Change, ConditionalWrite, StoreClient
 from tallyhall_standins.platform_store import StoreStandIn
 
 from tests.platform.harness import MODEL, Deployment, deployment, until
@@ -89,12 +89,16 @@
 
 async def test_key_is_written_only_if_unchanged_since_the_read() -> None:
     async with _stored() as (_, client):
-        first = await client.swap(Write('k', b'1', 0))
+        first = await client.compare_and_swap(ConditionalWrite('k', b'1', 0))
         with pytest.raises(ConditionFailedError):
-            await client.swap(Write('k', b'2', 0))
+            await client.compare_and_swap(ConditionalWrite('k', b'2', 0))
         with pytest.raises(ConditionFailedError):
-            await client.swap(Write('j', b'2', 0), {'k': first + 1})
-        await client.swap(Write('j', b'2', 0), {'k': first})
+            await client.compare_and_swap(
+                ConditionalWrite('j', b'2', 0), {'k': first + 1}
+            )
+        await client.compare_and_swap(
+            ConditionalWrite('j', b'2', 0), {'k': first}
+        )
         found = await client.get('j')
         assert found is not None
         assert found.content == b'2'
--- a/tests/platform/test_said.py
+++ b/tests/platform/test_said.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from tallyhall_edge.messages import ResponseHead
-from tallyhall_platform.dialect import PlatformDialect
+from tallyhall_platform.headers import PlatformHeaderCodec
 
 _LEAVING = (b'Server-Leaving', b'1')
 
@@ -14,7 +14,7 @@
 
 
 def test_a_response_of_any_status_may_announce_leaving() -> None:
-    dialect = PlatformDialect()
+    dialect = PlatformHeaderCodec()
     for status in (200, 404, 500, 503):
         assert dialect.parse_response(_head(status, _LEAVING)).leaving
     assert not dialect.parse_response(_head(200)).leaving
@@ -44,13 +44,13 @@
     rest_s: float,
 ) -> None:
     head = _head(status, (b'Retry-After', text))
-    assert PlatformDialect().parse_response(head).backoff_s == rest_s
+    assert PlatformHeaderCodec().parse_response(head).backoff_s == rest_s
 
 
 @given(st.binary(max_size=20))
 def test_a_backoff_is_bounded(text: bytes) -> None:
     head = _head(503, (b'Retry-After', text))
-    assert 0 <= PlatformDialect().parse_response(head).backoff_s <= 600
+    assert 0 <= PlatformHeaderCodec().parse_response(head).backoff_s <= 600
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
     text: bytes,
     limit: float | None,
 ) -> None:
-    dialect = PlatformDialect()
+    dialect = PlatformHeaderCodec()
     for status in (200, 500, 503):
         said = dialect.parse_response(_head(status, (b'Server-Limit', text)))
         assert said.limit_per_s == limit
@@ -82,7 +82,7 @@
 
 
 def test_unknown_upstream_headers_are_reported() -> None:
-    said = PlatformDialect().parse_response(
+    said = PlatformHeaderCodec().parse_response(
         _head(
             200,
             _LEAVING,
--- a/tests/platform/test_shared.py
+++ b/tests/platform/test_shared.py
@@ -28,7 +28,7 @@
 ) -> None:
     # The instances share one event loop, whose delays must not count as an
     # unresponsive owner.
-    monkeypatch.setattr(shared, '_ANSWER_S', 5)
+    monkeypatch.setattr(shared, '_OWNER_TIMEOUT_S', 5)
     async with deployment(3) as made:
         engine = await made.add_engine('model-0', event_s=0.02)
         await made.ready()
@@ -70,7 +70,7 @@
     """
     # Asking the next candidate takes 3 ms. A longer timeout keeps a busy
     # machine from causing local decisions.
-    monkeypatch.setattr(shared, '_ANSWER_S', 0.25)
+    monkeypatch.setattr(shared, '_OWNER_TIMEOUT_S', 0.25)
     async with deployment(6) as made:
         engine = await made.add_engine('model-0', event_s=0.02)
         await made.ready()
--- a/tests/platform/test_silent_store.py
+++ b/tests/platform/test_silent_store.py
@@ -20,9 +20,9 @@
 from tallyhall_dispatch.desired import DesiredState, Upstream
 from tallyhall_dispatch.options import Listening
 from tallyhall_dispatch.quota import Written
-from tallyhall_platform.absence import Absence
 from tallyhall_platform.entries import InstanceEntry
-from tallyhall_platform.follow import Follower
+from tallyhall_platform.follower import Follower
+from tallyhall_platform.outage import OutageTracker
 from tallyhall_platform.store import StoreClient
 from tallyhall_standins.platform_store import StoreStandIn
 
@@ -85,13 +85,13 @@
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
         """Ignore the instances."""
 
-    def on_use(self, use: Written) -> None:
+    def on_stored_use(self, use: Written) -> None:
         """Ignore the use of quotas."""
 
-    def on_confirmed(self, asked_at: float) -> None:
+    def on_state_confirmed(self, asked_at: float) -> None:
         self.confirmed += 1
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_store_reachable(self, *, reachable: bool) -> None:
         """Ignore whether the store is reachable."""
 
 
@@ -106,7 +106,7 @@
         recorder,
         _no_log,
         random.Random(1),
-        Absence(heartbeat_s, _CONTACT_S),
+        OutageTracker(heartbeat_s, _CONTACT_S),
         _CHANGE_S,
     )
     task = asyncio.create_task(follower.run())
--- a/tests/platform/test_starts.py
+++ b/tests/platform/test_starts.py
@@ -18,7 +18,7 @@
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.jobs import Ending, Job, RunReport
 from tallyhall_dispatch.pool import Granted, ServicePool
-from tallyhall_platform.upstreams import Upstreams
+from tallyhall_platform.upstreams import UpstreamRegistry
 from tallyhall_standins.platform_engine import EngineFault, EngineStandIn
 
 from tests.platform.harness import (
@@ -70,7 +70,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.pool = ServicePool(MODEL, 6, random.Random(1))
-        self.upstreams = Upstreams()
+        self.upstreams = UpstreamRegistry()
         self.start = 1
         self.serial = 0
         self.draining = False
@@ -105,13 +105,13 @@
         if not self.written:
             return
         start, serial, raw = self.written[index % len(self.written)]
-        self.upstreams.take(_KEY, raw)
+        self.upstreams.update(_KEY, raw)
         self.newest = max(self.newest or (0, 0), (start, serial))
         self.pool.set_upstreams(self.upstreams.all())
 
     @rule()
     def remove_entry(self) -> None:
-        self.upstreams.drop(_KEY)
+        self.upstreams.remove(_KEY)
         self.newest = None
         self.with_reports.clear()
         self.pool.set_upstreams(())
@@ -208,19 +208,19 @@
 
 @pytest.mark.parametrize('order', [(1, 2), (2, 1)])
 def test_newest_incarnation_wins_in_any_order(order: tuple[int, int]) -> None:
-    upstreams = Upstreams()
+    upstreams = UpstreamRegistry()
     for start in order:
-        upstreams.take(_KEY, _entry(start, 5 - start))
+        upstreams.update(_KEY, _entry(start, 5 - start))
     assert _start_times(upstreams.all()) == [_FIRST_START_MS + 2]
 
 
 def test_late_update_does_not_revert_leaving() -> None:
-    upstreams = Upstreams()
-    upstreams.take(_KEY, _entry(1, 4, 'draining'))
-    upstreams.take(_KEY, _entry(1, 3))
+    upstreams = UpstreamRegistry()
+    upstreams.update(_KEY, _entry(1, 4, 'draining'))
+    upstreams.update(_KEY, _entry(1, 3))
     assert upstreams.all()[0].leaving
     # The next incarnation accepts requests.
-    upstreams.take(_KEY, _entry(2, 1))
+    upstreams.update(_KEY, _entry(2, 1))
     assert not upstreams.all()[0].leaving
 
 
--- a/tests/platform/test_store_calls.py
+++ b/tests/platform/test_store_calls.py
@@ -9,7 +9,7 @@
 from tallyhall_daemon.command_base import EXIT_FAILED
 from tallyhall_daemon.command_calls import CallsCommand, calls_lines
 from tallyhall_entry.store_calls import store_calls
-from tallyhall_platform.calls import CallCause, CallCounts
+from tallyhall_platform.call_counts import CallCause, CallCounts
 from tallyhall_platform.errors import StoreError
 from tallyhall_platform.store import StoreClient
 from tallyhall_standins.platform_store import StoreFault
@@ -64,7 +64,7 @@
         made.store.fault = StoreFault.limits
         with pytest.raises(StoreError):
             await client.grant_lease(2)
-        assert counts.by_labels() == {
+        assert counts.by_label() == {
             ('scan', 'start', 'answered'): 1,
             ('watch', 'steady', 'answered'): 1,
             ('watch', 'steady', 'changed'): 1,
--- a/tests/platform/test_suspect_jobs.py
+++ b/tests/platform/test_suspect_jobs.py
@@ -9,7 +9,7 @@
 from tallyhall_dispatch.jobs import Ending, Job, RunReport
 from tallyhall_dispatch.pool import Granted, ServicePool
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer_codec import decode_job, fill_job
+from tallyhall_transport.peer_codec import decode_job, encode_job
 
 _BROKEN = RunReport(Ending.unknown, 0.1)
 _ANSWERED = RunReport(Ending.answered, 0.1, 0.05, 5, 0.05)
@@ -95,5 +95,5 @@
 
 def test_the_owner_receives_the_suspect() -> None:
     ask = peers_pb2.Ask()
-    fill_job(ask, _job('first', 'x'), 0)
+    encode_job(ask, _job('first', 'x'), 0)
     assert decode_job(ask, 0).suspect == 'x'
--- a/tests/platform/test_told.py
+++ b/tests/platform/test_told.py
@@ -19,9 +19,9 @@
 from hypothesis import strategies as st
 from tallyhall_dispatch.desired import DesiredState, Upstream
 from tallyhall_dispatch.quota import Written
-from tallyhall_platform.absence import Absence
+from tallyhall_platform.change_history import ChangeBatch, ChangeHistory
 from tallyhall_platform.entries import InstanceEntry
-from tallyhall_platform.history import History, News
+from tallyhall_platform.outage import OutageTracker
 from tallyhall_platform.store import Change, Changes, Item, Snapshot
 from tallyhall_platform.view import StoreView
 
@@ -49,13 +49,13 @@
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
         """Ignore the instances."""
 
-    def on_use(self, use: Written) -> None:
+    def on_stored_use(self, use: Written) -> None:
         """Ignore the quota usage."""
 
-    def on_confirmed(self, asked_at: float) -> None:
+    def on_state_confirmed(self, asked_at: float) -> None:
         """Ignore the confirmation, as the view itself records it."""
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_store_reachable(self, *, reachable: bool) -> None:
         """Ignore whether the store is reachable."""
 
 
@@ -71,7 +71,7 @@
 
     asked_at: float
     age_s: float
-    news: News | None
+    news: ChangeBatch | None
 
 
 class _Simulation:
@@ -115,7 +115,7 @@
         changes = tuple(
             one.change for one in self.written if one.change.revision > cursor
         )
-        view.take_changes(Changes(changes, self.revision), self.now)
+        view.apply_changes(Changes(changes, self.revision), self.now)
 
     def restart(self, number: int) -> None:
         """Reset an instance's view and drop the messages to and from it."""
@@ -138,8 +138,10 @@
             return
         asked_at, after = self.asked[relay].pop(0)
         view = self.views[relay]
-        age_s = self.now - view.followed_at
-        self.answers[relay].append(_Response(asked_at, age_s, view.news(after)))
+        age_s = self.now - view.complete_as_of
+        self.answers[relay].append(
+            _Response(asked_at, age_s, view.changes_after(after))
+        )
 
     def arrive(self, relay: int) -> None:
         """Let the subscriber read a response."""
@@ -148,7 +150,7 @@
         answer = self.answers[relay].pop(0)
         if answer.news is not None:
             current_at = answer.asked_at - answer.age_s
-            self.views[_SUBSCRIBER].take_news(answer.news, current_at)
+            self.views[_SUBSCRIBER].apply_relayed(answer.news, current_at)
 
     def check(self) -> None:
         """Check that no view lacks what the store held when it was current."""
@@ -156,7 +158,7 @@
             for key in _KEYS:
                 assert recorder.slots.get(key) in self._values_since(
                     key,
-                    view.followed_at,
+                    view.complete_as_of,
                 )
 
     def _values_since(self, key: str, moment: float) -> set[int | None]:
@@ -183,14 +185,14 @@
         view = StoreView(
             self.recorders[number],
             _no_log,
-            Absence(1.2, 5),
+            OutageTracker(1.2, 5),
             _CHANGE_S,
         )
         entries = tuple(
             Item(key, change.content or b'', change.revision)
             for key, change in self._current_items().items()
         )
-        view.take_all(Snapshot(entries, self.revision), self.now)
+        view.apply_snapshot(Snapshot(entries, self.revision), self.now)
         return view
 
 
@@ -240,21 +242,21 @@
 def test_news_starts_at_the_oldest_kept_revision(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr('tallyhall_platform.history._MOST_KEPT', 2)
-    history = History()
-    history.begin(10)
+    monkeypatch.setattr('tallyhall_platform.change_history._MAX_CHANGES', 2)
+    history = ChangeHistory()
+    history.reset(10)
     for revision in (11, 12, 13):
-        history.note(Change(f'servers/{revision}', b'x', revision))
-    told = history.news(10, 13)
+        history.add(Change(f'servers/{revision}', b'x', revision))
+    told = history.changes_after(10, 13)
     assert told is not None
     assert told.after == 11
-    later = history.news(11, 13)
+    later = history.changes_after(11, 13)
     assert later is not None
     assert [change.revision for change in later.changes] == [12, 13]
 
 
 def test_an_empty_history_has_no_news() -> None:
-    assert History().news(5, 0) is None
+    assert ChangeHistory().changes_after(5, 0) is None
 
 
 async def test_held_removals_are_not_forwarded() -> None:
@@ -266,16 +268,16 @@
     simulation.write(_KEYS[0], remove=False)
     simulation.look(0)
     before = simulation.revision
-    absence = simulation.views[0]._absence  # noqa: SLF001
-    absence.alive(simulation.now)
+    outages = simulation.views[0]._outages  # noqa: SLF001
+    outages.record_store_alive(simulation.now)
     for _ in range(2):
-        absence.failed(simulation.now)
+        outages.record_failure(simulation.now)
     simulation.now += 4
-    absence.answered(simulation.now)
+    outages.record_answer(simulation.now)
     simulation.write(_KEYS[0], remove=True)
     simulation.write(_KEYS[1], remove=False)
     simulation.look(0)
-    told = simulation.views[0].news(before)
+    told = simulation.views[0].changes_after(before)
     assert told is not None
     assert told.revision == before
     assert [change.key for change in told.changes] == [_KEYS[1]]
@@ -324,7 +326,7 @@
         await _ready(made)
         cut = list(_relays(made))[:lost]
         for number in cut:
-            made.instances[number].lose_store()
+            made.instances[number].stop_following_store()
         made.store.remove('servers/plain-1')
         for instance in made.instances:
             await until(lambda: instance.usable_upstreams == 1, _CHANGE_S)
@@ -354,7 +356,7 @@
         ]
         cut = random.Random(1).sample(told, _LARGE_FLEET // 2)
         for number in cut:
-            made.instances[number].lose_store()
+            made.instances[number].stop_following_store()
         await made.change(desired(2))
         made.store.remove('servers/plain-1')
         for number in cut:
@@ -367,7 +369,7 @@
     async with deployment(_LARGE_FLEET, change_s=_CHANGE_S, revoke_s=5) as made:
         await _ready(made)
         for number in _relays(made):
-            made.instances[number].lose_store()
+            made.instances[number].stop_following_store()
         state = desired(2)
         state['tenants'][0]['api-keys'] = ['key-2']
         made.store.put('op/config', state)
--- a/tests/platform/test_topology.py
+++ b/tests/platform/test_topology.py
@@ -155,7 +155,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # All 18 share one event loop, whose delays must not look like a slow owner.
-    monkeypatch.setattr(shared, '_ANSWER_S', 5)
+    monkeypatch.setattr(shared, '_OWNER_TIMEOUT_S', 5)
     async with deployment(18) as made:
         engine = await made.add_engine('model-0', event_s=0.01)
         await made.ready()
@@ -181,7 +181,7 @@
     not occupy itself. With the event loop blocked for 5 ms at a time, 14
     requests ran concurrently in 3 of 3 runs; for 2 ms, 5 to 7; unblocked, 4.
     """
-    monkeypatch.setattr(shared, '_ANSWER_S', 0)
+    monkeypatch.setattr(shared, '_OWNER_TIMEOUT_S', 0)
     async with deployment(18) as made:
         engine = await made.add_engine('model-0', event_s=0.01)
         await made.ready()
--- a/tests/platform/test_use_news.py
+++ b/tests/platform/test_use_refresh.py
@@ -9,10 +9,10 @@
 from tallyhall_dispatch.gate import OverQuotaError
 from tallyhall_dispatch.quota import Quotas
 from tallyhall_dispatch.quota_limits import Fleet, QuotaBounds
-from tallyhall_entry.use_news import UseNews
+from tallyhall_entry.use_refresh import UseRefresher
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer import Peer, PeerPlace
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer import Peer, PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
 
 from tests.platform.harness import PLAIN, deployment
 
@@ -35,14 +35,20 @@
         self._instances = instances
         self._loop = asyncio.get_running_loop()
         self._asked_at = float('inf')
-        links = PeerLinks('n0', 'n0', _ignore, _ignore, _ignore, _ignore)
+        peer_streams = PeerStreams(
+            'n0', 'n0', _ignore, _ignore, _ignore, _ignore
+        )
         names = [f'n{number}' for number in range(1, instances)]
-        links.take_peers(dict.fromkeys(names, PeerPlace('127.0.0.1:1', 1)))
-        peers = cast(dict[str, Peer], links.peers)
+        peer_streams.update_peers(
+            dict.fromkeys(names, PeerEndpoint('127.0.0.1:1', 1))
+        )
+        peers = cast(dict[str, Peer], peer_streams.peers)
         peers.update({name: Peer(name) for name in _HUBS})
-        links.outgoing = self._outgoing  # type: ignore[method-assign]
-        self.news = UseNews(links, self.quotas, self._take_known)
-        self.news.look(_HUBS)
+        peer_streams.next_batch = self._outgoing  # type: ignore[method-assign]
+        self.refresher = UseRefresher(
+            peer_streams, self.quotas, self._take_known
+        )
+        self.refresher.poll(_HUBS)
         self.knows(self._loop.time() - 1)
 
     def knows(self, known_at: float) -> None:
@@ -52,7 +58,7 @@
 
     def _outgoing(self, name: str, *, urgent: bool) -> None:
         batch = peers_pb2.Batch()
-        self.news.fill(Peer(name), batch)
+        self.refresher.fill(Peer(name), batch)
         self.asked[name] += batch.answer_now and urgent
         self._asked_at = self._loop.time()
 
@@ -64,24 +70,24 @@
 async def test_concurrent_requests_share_one_query_per_hub() -> None:
     asker = _Asker(_MANY, 0.03)
     began_at = asyncio.get_running_loop().time()
-    answers = [asker.news.ask() for _ in range(5)]
+    answers = [asker.refresher.refresh() for _ in range(5)]
     assert await asyncio.gather(*answers) == [True] * 5
     assert asyncio.get_running_loop().time() - began_at < 0.1
     assert asker.asked == dict.fromkeys(_HUBS, 1)
     # The known use is now as recent as another answer would be.
-    assert not await asker.news.ask()
+    assert not await asker.refresher.refresh()
 
 
 async def test_silent_hubs_delay_a_request_for_a_tenth_of_a_second() -> None:
     asker = _Asker(_MANY, 60)
     began_at = asyncio.get_running_loop().time()
-    assert await asker.news.ask()
+    assert await asker.refresher.refresh()
     assert 0.09 < asyncio.get_running_loop().time() - began_at < 0.3
 
 
 async def test_full_mesh_sends_no_queries() -> None:
     asker = _Asker(7, 0)
-    assert not await asker.news.ask()
+    assert not await asker.refresher.refresh()
     assert not asker.asked
 
 
