--- a/packages/dispatch/src/tallyhall_dispatch/adoption.py
+++ b/packages/dispatch/src/tallyhall_dispatch/adoption.py
@@ -23,7 +23,7 @@
     at: float
 
 
-class Hearing:
+class AdoptionReadiness:
     """Reports received until an instance knows the use of the fleet."""
 
     def __init__(self) -> None:
@@ -32,13 +32,13 @@
         # Latest incarnation of each other instance, and its first contact.
         self._heard_since: dict[str, tuple[str, float]] = {}
 
-    def heard(self, sender: str, incarnation: str, now: float) -> None:
+    def record_contact(self, sender: str, incarnation: str, now: float) -> None:
         """Record that another instance has sent a message."""
         known, _ = self._heard_since.get(sender, ('', now))
         if known != incarnation:
             self._heard_since[sender] = (incarnation, now)
 
-    def reported(
+    def record_report(
         self,
         workspace: str,
         sender: str,
@@ -51,14 +51,14 @@
         ]
         self._reports.append(_UseReport(workspace, sender, amount, now))
 
-    def heard_long(self, names: frozenset[str], now: float) -> int:
+    def count_settled(self, names: frozenset[str], now: float) -> int:
         """Return how many of these instances have been heard long enough."""
         return sum(
             name in names and now - since >= _SETTLE_S
             for name, (_, since) in self._heard_since.items()
         )
 
-    def just_told(self, workspace: str, but: str, now: float) -> float:
+    def recently_reported(self, workspace: str, but: str, now: float) -> float:
         """Return the use reported recently by all instances except `but`."""
         return sum(
             report.amount
--- a/packages/dispatch/src/tallyhall_dispatch/named_limits.py
+++ b/packages/dispatch/src/tallyhall_dispatch/announced_limits.py
@@ -13,11 +13,12 @@
 
 import msgspec
 
-# Maximum number of upstreams whose announcements are kept; see `Leavers`.
+# Maximum number of upstreams whose announcements are kept; see
+# `LeavingUpstreams`.
 _MAX_KEPT = 2000
 
 
-class NamedLimit(msgspec.Struct, frozen=True):
+class AnnouncedLimit(msgspec.Struct, frozen=True):
     """The latest announcement of an upstream.
 
     per_s: requests per second that it accepts from all instances together, None
@@ -28,12 +29,12 @@
     heard_at: float
 
 
-class NamedLimits:
+class AnnouncedLimits:
     """The latest announcements of all upstreams, by incarnation."""
 
     def __init__(self) -> None:
         """Create an empty collection."""
-        self._announced: dict[str, NamedLimit] = {}
+        self._announced: dict[str, AnnouncedLimit] = {}
         self._current: dict[str, float] = {}
 
     @property
@@ -41,15 +42,15 @@
         """Return the limits in force."""
         return self._current
 
-    def word(self, incarnation: str) -> NamedLimit | None:
+    def get(self, incarnation: str) -> AnnouncedLimit | None:
         """Return the latest announcement, None if there never was one."""
         return self._announced.get(incarnation)
 
-    def words(self) -> Iterator[tuple[str, NamedLimit]]:
+    def all(self) -> Iterator[tuple[str, AnnouncedLimit]]:
         """Yield the latest announcements, including withdrawn limits."""
         yield from self._announced.items()
 
-    def take(self, incarnation: str, announcement: NamedLimit) -> bool:
+    def update(self, incarnation: str, announcement: AnnouncedLimit) -> bool:
         """Store an announcement; return whether the limit changed."""
         known = self._announced.get(incarnation)
         if known is not None and announcement.heard_at < known.heard_at:
@@ -66,14 +67,16 @@
         self._current[incarnation] = announcement.per_s
         return has_changed
 
-    def contradicted(self, incarnation: str, announcement: NamedLimit) -> bool:
+    def is_superseded(
+        self, incarnation: str, announcement: AnnouncedLimit
+    ) -> bool:
         """Return whether a different limit was received later."""
         known = self._announced.get(incarnation)
         if known is None or known.heard_at <= announcement.heard_at:
             return False
         return known.per_s != announcement.per_s
 
-    def is_taken_back(self, incarnation: str, asked_at: float) -> bool:
+    def is_withdrawn(self, incarnation: str, asked_at: float) -> bool:
         """Return whether a response without a limit withdraws the limit.
 
         asked_at: when the request of that response was sent.
--- a/packages/dispatch/src/tallyhall_dispatch/rests.py
+++ b/packages/dispatch/src/tallyhall_dispatch/backoffs.py
@@ -9,19 +9,19 @@
 from collections.abc import Mapping
 
 
-class Rests:
+class Backoffs:
     """The backoff periods of one instance; times in seconds."""
 
     def __init__(self) -> None:
         """Create an empty collection."""
         self._until: dict[str, float] = {}
 
-    def ask(self, incarnation: str, rest_s: float, now: float) -> None:
+    def add(self, incarnation: str, rest_s: float, now: float) -> None:
         """Record that an upstream requested a backoff of `rest_s`."""
         known = self._until.get(incarnation, now)
         self._until[incarnation] = max(known, now + rest_s)
 
-    def rests(self, incarnation: str, now: float) -> bool:
+    def is_backing_off(self, incarnation: str, now: float) -> bool:
         """Return whether nothing must be sent to an upstream now."""
         return now < self._until.get(incarnation, now)
 
--- a/packages/dispatch/src/tallyhall_dispatch/evidence.py
+++ b/packages/dispatch/src/tallyhall_dispatch/evidence.py
@@ -23,8 +23,8 @@
 
 import msgspec
 
-from .engines import FIRST_FIXED_S, FIRST_TOKEN_S
-from .jobs import BROKEN_OFF, Ending, Job, RunReport
+from .jobs import INTERRUPTED, AttemptOutcome, Job, RunReport
+from .upstream_state import DEFAULT_PREFILL_TOKEN_S, FIXED_FIRST_EVENT_S
 from .windows import SlidingSum
 
 # Length of the baseline window, in seconds.
@@ -62,7 +62,10 @@
 _MIN_TIME_S = 0.001
 _ALL_ROUTES = ''
 # Endings that the upstream is responsible for.
-_UPSTREAM_ENDINGS = BROKEN_OFF | {Ending.failed, Ending.answered}
+_UPSTREAM_ENDINGS = INTERRUPTED | {
+    AttemptOutcome.failed,
+    AttemptOutcome.answered,
+}
 
 
 class Tally(msgspec.Struct):
@@ -140,9 +143,11 @@
         """Record how a run ended, unless the upstream did not cause its end."""
         if report.ending not in _UPSTREAM_ENDINGS:
             return
-        if report.ending in BROKEN_OFF and self._is_same_failure(upstream, now):
+        if report.ending in INTERRUPTED and self._is_same_failure(
+            upstream, now
+        ):
             return
-        bad = report.ending is not Ending.answered
+        bad = report.ending is not AttemptOutcome.answered
         if not bad:
             bad = self._is_slow(job, upstream, report, canary=canary)
         self._began_at = min(self._began_at, now)
@@ -265,5 +270,5 @@
     """
     if report.events >= _MIN_PACED_EVENTS:
         return max(report.stream_s, _MIN_TIME_S) / (report.events - 1)
-    work_s = FIRST_FIXED_S + job.prompt_tokens * FIRST_TOKEN_S
+    work_s = FIXED_FIRST_EVENT_S + job.prompt_tokens * DEFAULT_PREFILL_TOKEN_S
     return max(report.first_s or report.total_s, _MIN_TIME_S) / work_s
--- a/packages/dispatch/src/tallyhall_dispatch/callers.py
+++ b/packages/dispatch/src/tallyhall_dispatch/first_attempts.py
@@ -30,7 +30,7 @@
     at: float
 
 
-class FirstTries:
+class FirstAttempts:
     """The longest timeouts stated by the callers, per route and workspace.
 
     They are kept per workspace, so that callers of one workspace cannot make
@@ -41,7 +41,7 @@
         """Create an empty collection."""
         self._stated: dict[tuple[str, str], _StatedTimeout] = {}
 
-    def since_s(
+    def elapsed_s(
         self,
         route: Route,
         workspace: str,
--- a/packages/dispatch/src/tallyhall_dispatch/fleet.py
+++ b/packages/dispatch/src/tallyhall_dispatch/fleet.py
@@ -36,7 +36,7 @@
         return self.registered | self.leaving | self.vanished
 
     @property
-    def holders(self) -> frozenset[str]:
+    def slot_holders(self) -> frozenset[str]:
         """Return the instances that are assumed to occupy upstream slots.
 
         Vanished instances are left out: exceeding the slots of an upstream
@@ -46,7 +46,7 @@
         return self.registered | self.leaving
 
 
-class Membership:
+class FleetMembership:
     """Tracks registry entries and received messages on one instance."""
 
     def __init__(self, name: str, admits_s: float, unseen_s: float) -> None:
@@ -65,7 +65,7 @@
         self._vanished_at: dict[str, float] = {}
         self._left_at: dict[str, float] = {}
 
-    def take_entries(self, leaving: Mapping[str, bool], now: float) -> None:
+    def update_entries(self, leaving: Mapping[str, bool], now: float) -> None:
         """Update the registered instances and which of them are leaving."""
         for name in self._entries.keys() - leaving.keys():
             if self._entries[name]:
--- a/packages/dispatch/src/tallyhall_dispatch/freshness.py
+++ b/packages/dispatch/src/tallyhall_dispatch/freshness.py
@@ -17,7 +17,7 @@
         self.bound_s = bound_s
         self._asked_at: float | None = None
 
-    def confirm(self, asked_at: float) -> None:
+    def record_confirmation(self, asked_at: float) -> None:
         """Record that a query sent at this time confirmed the state."""
         if self._asked_at is None or asked_at > self._asked_at:
             self._asked_at = asked_at
@@ -28,7 +28,7 @@
             return None
         return now - self._asked_at
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Return whether requests with API keys may run."""
         age = self.age(now)
         if age is None:
--- a/packages/dispatch/src/tallyhall_dispatch/gate.py
+++ b/packages/dispatch/src/tallyhall_dispatch/gate.py
@@ -14,7 +14,7 @@
 
 from .desired import DesiredState, Route, Workspace
 from .freshness import Freshness
-from .quota import Quotas, QuotaSeen
+from .quota import Quotas, QuotaState
 from .quota_limits import QuotaBounds
 from .retries import RetryBudget, RetryLimits
 from .routing import Router, pick_service
@@ -29,8 +29,8 @@
 
     over_quota_s: 0, or the time until the request would fit into the quota of
     its workspace; such a request runs only on slots that are otherwise free.
-    seen: what was known about the quota, None if there is none. charged_at:
-    when the quota was charged.
+    quota_state: what was known about the quota, None if there is none.
+    charged_at: when the quota was charged.
     """
 
     route: Route
@@ -40,7 +40,7 @@
     charged: float
     version: int
     over_quota_s: float = 0
-    seen: QuotaSeen | None = None
+    quota_state: QuotaState | None = None
     charged_at: float = 0
 
 
@@ -50,24 +50,24 @@
     def __init__(
         self,
         refusal: Refusal,
-        seen: QuotaSeen | None,
+        quota_state: QuotaState | None,
         workspace: str,
-        asked: float,
+        amount: float,
     ) -> None:
         """Store the refusal, the quota state, the workspace and the amount."""
         super().__init__(refusal)
-        self.seen = seen
+        self.quota_state = quota_state
         self.workspace = workspace
-        self.asked = asked
+        self.amount = amount
 
 
 class _Charge(msgspec.Struct, frozen=True):
     amount: float
     over_quota_s: float = 0
-    seen: QuotaSeen | None = None
+    quota_state: QuotaState | None = None
 
 
-class Gate:
+class AdmissionGate:
     """Admits requests according to the latest desired state."""
 
     def __init__(
@@ -92,7 +92,7 @@
         """Return the version of the desired state, -1 before the first one."""
         return -1 if self._router is None else self._router.state.version
 
-    def take_state(self, state: DesiredState) -> None:
+    def apply_state(self, state: DesiredState) -> None:
         """Apply a newer desired state."""
         self._router = Router(state)
         self.quotas.configure(state.workspaces)
@@ -121,7 +121,7 @@
                 raise _refused(Reason.unknown_key)
         charge = self._charge(workspace, tokens, now)
         service = pick_service(route, self._rng)
-        self.budget(service).request(now)
+        self.budget(service).record_request(now)
         return Admitted(
             route,
             service,
@@ -130,31 +130,31 @@
             charge.amount,
             router.state.version,
             charge.over_quota_s,
-            charge.seen,
+            charge.quota_state,
             now,
         )
 
-    def still_holds(self, admitted: Admitted, now: float) -> bool:
+    def is_still_valid(self, admitted: Admitted, now: float) -> bool:
         """Return whether a request may still be sent after it was queued."""
         if admitted.workspace is None or self._router is None:
             return True
-        if not self.freshness.holds(now):
+        if not self.freshness.is_valid(now):
             return False
         return self._router.workspace(admitted.key) is not None
 
-    def give_back(self, admitted: Admitted, now: float) -> None:
+    def refund(self, admitted: Admitted, now: float) -> None:
         """Refund the quota charged for a request that did not run."""
         if admitted.workspace is not None:
-            self.quotas.give_back(
+            self.quotas.refund(
                 admitted.workspace.name,
                 admitted.charged,
                 admitted.charged_at,
                 now,
             )
 
-    def may_repeat(self, service: str, now: float) -> bool:
+    def charge_retry(self, service: str, now: float) -> bool:
         """Charge a retry to the budget; return whether it is allowed."""
-        return self.budget(service).take(now, self.instances)
+        return self.budget(service).try_retry(now, self.instances)
 
     def budget(self, service: str) -> RetryBudget:
         """Return the retry budget of a service."""
@@ -165,7 +165,7 @@
         return budget
 
     def _check_fresh(self, now: float) -> None:
-        if not self.freshness.holds(now):
+        if not self.freshness.is_valid(now):
             raise _refused(Reason.state_not_confirmed, _STATE_RETRY_AFTER_S)
 
     def _charge(
@@ -179,16 +179,18 @@
         amount: float = 1
         if workspace.in_tokens:
             amount = tokens or workspace.plain_tokens
-        seen = self.quotas.seen(workspace.name, now)
-        wait_s = self.quotas.take(workspace.name, amount, now)
-        if wait_s and not self.quotas.take_spare(workspace.name, amount, now):
+        quota_state = self.quotas.state(workspace.name, now)
+        wait_s = self.quotas.charge(workspace.name, amount, now)
+        if wait_s and not self.quotas.charge_over_quota(
+            workspace.name, amount, now
+        ):
             raise OverQuotaError(
                 Refusal.of(Reason.rate_limited, retry_after=wait_s),
-                seen,
+                quota_state,
                 workspace.name,
                 amount,
             )
-        return _Charge(amount, wait_s, seen)
+        return _Charge(amount, wait_s, quota_state)
 
 
 def _refused(reason: Reason, retry_after: float | None = None) -> RefusedError:
--- a/packages/dispatch/src/tallyhall_dispatch/group.py
+++ b/packages/dispatch/src/tallyhall_dispatch/group.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from .desired import Upstream
-from .engines import FIRST_FIXED_S, UpstreamState
 from .forecast import Forecast
 from .jobs import Job
 from .switches import Switches
 from .token_bucket import TokenBucket
+from .upstream_state import FIXED_FIRST_EVENT_S, UpstreamState
 
 # Seconds for which a forecast is cached, because computing one reads the state
 # of all upstreams. A fortieth of the shortest latency objective.
@@ -32,7 +32,7 @@
         self.share: float = 1
         # Whether any upstream that is not leaving announces a rate limit,
         # canaries included.
-        self.is_limited = False
+        self.has_limits = False
         # Whether all active upstreams do, so that their limits bound the
         # total capacity.
         self.all_limited = False
@@ -87,7 +87,7 @@
             view.bucket.update_rate(per_s, part, now)
         active = self._active()
         self.all_limited = bool(active) and all(one.bucket for one in active)
-        self.is_limited = any(
+        self.has_limits = any(
             one.bucket and not one.upstream.leaving
             for one in self._views.values()
         )
@@ -126,7 +126,7 @@
         active = self._active()
         if not self._switches.aside:
             return active
-        return [view for view in active if not view.is_aside(now)] or active
+        return [view for view in active if not view.is_ejected(now)] or active
 
     def free_canaries(self, now: float) -> list[UpstreamState]:
         """Return the canary upstreams that have a free slot.
@@ -142,7 +142,7 @@
         return [
             view
             for view in canaries[first:] + canaries[:first]
-            if view.has_slot(1, now) and not view.is_aside(now)
+            if view.has_slot(1, now) and not view.is_ejected(now)
         ]
 
     def canary_slots(self) -> int:
@@ -177,15 +177,15 @@
         )
 
     def backoff_ends_in_s(
-        self, resting: Mapping[str, float], now: float
+        self, backoffs: Mapping[str, float], now: float
     ) -> float:
         """Return the seconds until the first active upstream ends its backoff.
 
         The result is 0 if any active upstream is not backing off.
         """
-        if not resting:
+        if not backoffs:
             return 0
-        ends = [resting.get(view.incarnation, now) for view in self._active()]
+        ends = [backoffs.get(view.incarnation, now) for view in self._active()]
         return max(0, min(ends, default=now) - now)
 
     def forecast(self, now: float) -> Forecast:
@@ -198,13 +198,13 @@
 
     def forecast_for(self, job: Job, forecast: Forecast) -> Forecast:
         """Return a forecast without the upstreams that back off for a job."""
-        if not job.resting:
+        if not job.backoffs:
             return forecast
         now = forecast.now
         usable = [
             view
             for view in self.usable(now)
-            if view.incarnation not in job.resting
+            if view.incarnation not in job.backoffs
         ]
         return self._compute_forecast(usable, now)
 
@@ -214,7 +214,7 @@
         now: float,
     ) -> Forecast:
         rate = sum(view.slot_release_rate for view in usable)
-        first_s = FIRST_FIXED_S if usable else 0
+        first_s = FIXED_FIRST_EVENT_S if usable else 0
         token_s = min((view.token_s for view in usable), default=0)
         return Forecast(now, rate, first_s, token_s)
 
--- a/packages/dispatch/src/tallyhall_dispatch/jobs.py
+++ b/packages/dispatch/src/tallyhall_dispatch/jobs.py
@@ -16,16 +16,16 @@
 
     key: unique among the jobs of all instances. zone: the zone of the instance
     that sends the request. urgency: priority class, lower values first. due_at:
-    deadline for the first byte to reach the caller. give_up_at: time after
-    which no upstream could respond before the caller's timeout. excluded:
-    incarnations that must not be used again for this request. spare: whether
-    the request exceeds the quota of its workspace and may only use idle slots.
-    pause_s: maximum pause between two events of a response that is on time, 0
-    if there is no limit. suspect: digest of the request content if an upstream
-    terminated while running it, else empty. resting: upstreams to which the
-    sending instance must not send anything, and until when. route: the route of
-    the request if its service has canary upstreams, else empty. once: whether
-    the request may run only once.
+    deadline for the first byte to reach the caller. reject_at: time after which
+    no upstream could respond before the caller's timeout. excluded:
+    incarnations that must not be used again for this request. over_quota:
+    whether the request exceeds the quota of its workspace and may only use idle
+    slots. pause_s: maximum pause between two events of a response that is on
+    time, 0 if there is no limit. suspect_digest: digest of the request content
+    if an upstream terminated while running it, else empty. backoffs: upstreams
+    to which the sending instance must not send anything, and until when. route:
+    the route of the request if its service has canary upstreams, else empty.
+    non_idempotent: whether the request may run only once.
     """
 
     key: str
@@ -36,17 +36,17 @@
     output_tokens: int
     asked_at: float
     due_at: float
-    give_up_at: float
+    reject_at: float
     excluded: frozenset[str] = frozenset()
-    spare: bool = False
+    over_quota: bool = False
     pause_s: float = 0
-    suspect: str = ''
-    resting: Mapping[str, float] = types.MappingProxyType({})
+    suspect_digest: str = ''
+    backoffs: Mapping[str, float] = types.MappingProxyType({})
     route: str = ''
-    once: bool = False
+    non_idempotent: bool = False
 
 
-class Grant(msgspec.Struct, frozen=True):
+class SlotGrant(msgspec.Struct, frozen=True):
     """Permission to send a job to an upstream.
 
     by: the instance that granted it. waited_s: time in the queue. forecast_s:
@@ -60,7 +60,7 @@
 
 
 @enum.unique
-class Ending(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """The outcome of one attempt to send a request to an upstream.
 
     answered: complete response. failed: complete response with a server error.
@@ -83,9 +83,9 @@
 
 
 # Outcomes in which no part of the request reached the upstream.
-NOT_SENT = frozenset((Ending.unsent, Ending.withheld))
+NOT_SENT = frozenset((AttemptOutcome.unsent, AttemptOutcome.withheld))
 # Outcomes in which the connection was lost before the response was complete.
-BROKEN_OFF = frozenset((Ending.unknown, Ending.broken))
+INTERRUPTED = frozenset((AttemptOutcome.unknown, AttemptOutcome.broken))
 
 
 class RunReport(msgspec.Struct, frozen=True):
@@ -97,7 +97,7 @@
     before that pause.
     """
 
-    ending: Ending
+    ending: AttemptOutcome
     total_s: float
     first_s: float | None = None
     events: int = 0
--- a/packages/dispatch/src/tallyhall_dispatch/leavers.py
+++ b/packages/dispatch/src/tallyhall_dispatch/leaving_upstreams.py
@@ -16,7 +16,7 @@
 _MAX_KEPT = 2000
 
 
-class Leavers:
+class LeavingUpstreams:
     """The incarnations that announced their shutdown, newest last."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
             self._announced.pop(next(iter(self._announced)))
         return True
 
-    def marked(self, upstream: Upstream) -> Upstream:
+    def mark_leaving(self, upstream: Upstream) -> Upstream:
         """Return the upstream, set to leaving if it announced its shutdown."""
         if upstream.leaving or upstream.incarnation not in self._announced:
             return upstream
--- a/packages/dispatch/src/tallyhall_dispatch/outstanding.py
+++ b/packages/dispatch/src/tallyhall_dispatch/outstanding.py
@@ -25,7 +25,7 @@
         self._charges.append(_Charge(now, amount))
         self._total += amount
 
-    def take_back(self, amount: float, charged_at: float) -> None:
+    def subtract(self, amount: float, charged_at: float) -> None:
         """Subtract the amount of a request that did not run, if still held."""
         for charge in reversed(self._charges):
             if charge.at < charged_at:
@@ -35,7 +35,7 @@
                 self._total -= amount
                 return
 
-    def since(self, since: float, known_at: float) -> float:
+    def amount_since(self, since: float, known_at: float) -> float:
         """Return the amount admitted after `since` and after `known_at`.
 
         Amounts admitted up to `known_at` are known to all instances and are
--- a/packages/dispatch/src/tallyhall_dispatch/pool.py
+++ b/packages/dispatch/src/tallyhall_dispatch/pool.py
@@ -19,14 +19,14 @@
 import msgspec
 
 from .desired import Upstream
-from .engines import UpstreamState
 from .forecast import Forecast
 from .group import UpstreamGroup
-from .jobs import BROKEN_OFF, Ending, Job, RunReport
-from .placing import UpstreamSelector
-from .refusing import GivenUp, RejectionPolicy
-from .shares import GrantRates, ServedShares
-from .switches import ALL_ON, Switches
+from .jobs import INTERRUPTED, AttemptOutcome, Job, RunReport
+from .rejection import RejectDecision, RejectionPolicy
+from .switches import ALL_ENABLED, Switches
+from .upstream_selection import UpstreamSelector
+from .upstream_state import UpstreamState
+from .urgency_stats import GrantRates, ServedFractions
 from .waiting import WaitingJobs
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
 _MAX_CANDIDATES = 12
 
 
-class Granted(msgspec.Struct, frozen=True):
+class GrantDecision(msgspec.Struct, frozen=True):
     """A job may be sent to this upstream once.
 
     forecast_s: expected time to the first event.
@@ -65,7 +65,7 @@
     forecast_s: float = 0
 
 
-Decision = Granted | GivenUp
+Decision = GrantDecision | RejectDecision
 
 
 class ServicePool:
@@ -76,7 +76,7 @@
         service: str,
         event_tokens: int,
         rng: random.Random,
-        switches: Switches = ALL_ON,
+        switches: Switches = ALL_ENABLED,
     ) -> None:
         """Create a pool without upstreams or jobs."""
         self.service = service
@@ -88,7 +88,7 @@
         self._waiting = WaitingJobs()
         # The upstream on which each granted job runs, by job key.
         self._granted: dict[str, UpstreamState] = {}
-        self._shares = ServedShares()
+        self._served_fractions = ServedFractions()
         self._rates = GrantRates()
         self._selector = UpstreamSelector(
             self._group, event_tokens, rng, switches
@@ -122,23 +122,25 @@
         return len(self._waiting)
 
     @property
-    def places(self) -> int:
+    def slots(self) -> int:
         """Return the number of slots of the active upstreams."""
         return self._group.slots
 
     @property
-    def canary_places(self) -> int:
+    def canary_slots(self) -> int:
         """Return the number of slots of the canary upstreams."""
         return self._group.canary_slots()
 
-    def opens_in_s(self, resting: Mapping[str, float], now: float) -> float:
+    def backoff_ends_in_s(
+        self, backoffs: Mapping[str, float], now: float
+    ) -> float:
         """Return the seconds until the first active upstream ends its backoff.
 
         The result is 0 if any active upstream is not backing off.
         """
-        return self._group.backoff_ends_in_s(resting, now)
+        return self._group.backoff_ends_in_s(backoffs, now)
 
-    def take_share(self, share: float) -> None:
+    def apply_share(self, share: float) -> None:
         """Set the share of all slots that this instance may fill."""
         self._group.share = share
 
@@ -146,24 +148,24 @@
         """Replace the list of registered upstreams of the service."""
         self._group.set_upstreams(upstreams)
 
-    def misplaced(self, incarnation: str) -> None:
+    def ignore_upstream(self, incarnation: str) -> None:
         """Ignore an upstream whose address now belongs to another one."""
         self._group.ignore(incarnation)
 
-    def ask(self, job: Job) -> None:
+    def enqueue(self, job: Job) -> None:
         """Add a job to the queue."""
         self._waiting.add(job)
         self._unchecked.append(job.key)
 
-    def withdraw(self, key: str) -> None:
+    def dequeue(self, key: str) -> None:
         """Remove a job from the queue."""
         self._waiting.remove(key)
 
-    def first_byte(self, key: str) -> None:
+    def record_first_byte(self, key: str) -> None:
         """Record that the response of a job has started."""
         view = self._granted.get(key)
         if view is not None:
-            view.first_byte(key)
+            view.record_first_byte(key)
 
     def finish(self, key: str, report: RunReport, now: float) -> None:
         """Record that a granted job has ended."""
@@ -176,14 +178,14 @@
             self._report_to_rollout(run.job, view, report, now)
         view.finish(key, report, now)
 
-    def note_running(self, job: Job, incarnation: str) -> None:
+    def add_running(self, job: Job, incarnation: str) -> None:
         """Record a running job that was granted by another instance."""
         view = self.views.get(incarnation)
         if view is not None and job.key not in self._granted:
             view.grant(job)
             self._granted[job.key] = view
 
-    def drop_jobs(self, prefix: str) -> None:
+    def remove_jobs(self, prefix: str) -> None:
         """Remove all jobs whose key has this prefix."""
         self._waiting.remove_prefix(prefix)
         for running in tuple(self._granted):
@@ -205,40 +207,40 @@
             if rejection is None:
                 continue
             self._waiting.remove(job.key)
-            if not job.spare:
-                self._shares.note(job.urgency, served=False)
+            if not job.over_quota:
+                self._served_fractions.record(job.urgency, served=False)
             decisions.append(rejection)
         return decisions
 
     # -- suspects
 
     def _record_outcome(self, job: Job, report: RunReport, now: float) -> None:
-        if report.ending is Ending.answered:
+        if report.ending is AttemptOutcome.answered:
             self._selector.answered(job, report.events)
-        elif job.suspect and report.ending in BROKEN_OFF:
+        elif job.suspect_digest and report.ending in INTERRUPTED:
             self._pending_trials = {
                 suspect: until
                 for suspect, until in self._pending_trials.items()
                 if now < until
             }
-            self._pending_trials[job.suspect] = now + _TRIAL_OUTCOME_S
+            self._pending_trials[job.suspect_digest] = now + _TRIAL_OUTCOME_S
 
     def _is_on_trial(self, suspect: str, now: float) -> bool:
         if now < self._pending_trials.get(suspect, 0):
             return True
         return any(
-            run.reading and run.job.suspect == suspect
+            run.in_prefill and run.job.suspect_digest == suspect
             for view in self.views.values()
             for run in view.runs.values()
         )
 
     # -- grants
 
-    def _grants(self, forecast: Forecast) -> Iterator[Granted]:
+    def _grants(self, forecast: Forecast) -> Iterator[GrantDecision]:
         """Grant the free slots in the order of the queue.
 
         Jobs that can meet their deadlines come first, ordered by the rank of
-        their urgency (see `ServedShares`) and then by deadline.
+        their urgency (see `ServedFractions`) and then by deadline.
         """
         now = forecast.now
         free = self._group.free(now)
@@ -252,7 +254,7 @@
                 continue
             forecast_s = view.first_s(job)
             self._start(job, view, now)
-            yield Granted(job.key, view.upstream, forecast_s)
+            yield GrantDecision(job.key, view.upstream, forecast_s)
             if not self._group.has_slot(view, now):
                 free.remove(view)
             if not free:
@@ -271,9 +273,9 @@
         if self.rollout is None:
             return self._selector.best(job, free, forecast)
         now = forecast.now
-        if self.rollout.may_expose(job, now):
+        if self.rollout.may_place_on_target(job, now):
             for canary in free:
-                backing_off = now < job.resting.get(canary.incarnation, now)
+                backing_off = now < job.backoffs.get(canary.incarnation, now)
                 if canary.upstream.canary and not backing_off:
                     return canary
         in_use = [view for view in free if not view.upstream.canary]
@@ -287,7 +289,7 @@
         now: float,
     ) -> None:
         if self.rollout is not None:
-            self.rollout.ended(
+            self.rollout.record_ended(
                 job,
                 view.incarnation,
                 report,
@@ -318,7 +320,7 @@
     def _ranked(self, urgencies: list[int]) -> list[int]:
         if not self._switches.served_shares:
             return sorted(urgencies)
-        return sorted(urgencies, key=self._shares.rank)
+        return sorted(urgencies, key=self._served_fractions.rank)
 
     def _may_start(self, job: Job, now: float, *, late: bool) -> bool:
         """Return whether enough slots are free for a job of this kind.
@@ -326,9 +328,9 @@
         A suspect waits while a job with the same content is on trial, because
         it might terminate another upstream.
         """
-        if job.suspect and self._is_on_trial(job.suspect, now):
+        if job.suspect_digest and self._is_on_trial(job.suspect_digest, now):
             return False
-        if job.spare:
+        if job.over_quota:
             return self._group.has_free_share(_MIN_FREE_OVER_QUOTA, now)
         if late and self._switches.late_places:
             return self._group.has_free_share(_MIN_FREE_LATE, now)
@@ -338,12 +340,12 @@
         view.grant(job)
         self._granted[job.key] = view
         if self.rollout is not None:
-            self.rollout.placed(job, canary=view.upstream.canary)
-        if job.spare:
+            self.rollout.record_placed(job, canary=view.upstream.canary)
+        if job.over_quota:
             return
-        self._rates.note(job.urgency, now)
+        self._rates.record(job.urgency, now)
         in_time = now + view.first_s(job) <= job.due_at
-        self._shares.note(job.urgency, served=in_time)
+        self._served_fractions.record(job.urgency, served=in_time)
 
     # -- rejections
 
--- a/packages/dispatch/src/tallyhall_dispatch/patience.py
+++ b/packages/dispatch/src/tallyhall_dispatch/queue_timeout.py
@@ -14,7 +14,7 @@
 _QUEUE_TIME_PART = 0.7
 
 
-def longest_wait_s(route: Route, limit_s: float) -> float:
+def max_queue_time_s(route: Route, limit_s: float) -> float:
     """Return how long a request with this timeout may wait for a slot."""
     wait_s = _QUEUE_TIME_PART * limit_s
     if route.kind is not RouteKind.streaming:
--- a/packages/dispatch/src/tallyhall_dispatch/quota.py
+++ b/packages/dispatch/src/tallyhall_dispatch/quota.py
@@ -29,8 +29,8 @@
 import msgspec
 
 from .desired import Workspace
-from .quota_limits import Fleet, QuotaBounds, QuotaLimits
-from .quota_use import FleetUse, Parts, Use, UseReport
+from .quota_limits import FleetView, QuotaBounds, QuotaLimits
+from .quota_use import AgedAmounts, FleetUse, Use, UseReport
 
 # Use above this fraction of a quota is written to the store, so that normal use
 # causes no writes. After a restart without a record, this much counts as used.
@@ -43,22 +43,22 @@
 # Minimum retry-after time for callers that are over their quota, in seconds.
 _MIN_RETRY_AFTER_S = 0.2
 # Fleet-wide use by workspace as stored: ages in seconds and amounts.
-Written = Mapping[str, Parts]
+StoredUse = Mapping[str, AgedAmounts]
 
 
-class QuotaSeen(msgspec.Struct, frozen=True):
+class QuotaState(msgspec.Struct, frozen=True):
     """The state of a quota when a request was admitted or refused.
 
     used: use of all instances in the last window. limit: limit that applied to
-    it on this instance. heard: fraction of the fleet that is heard.
-    known_s_ago: age of the data about other instances. quota: limit for the
+    it on this instance. heard_fraction: fraction of the fleet that is heard.
+    data_age_s: age of the data about other instances. quota: limit for the
     whole fleet in any window of `window_s`.
     """
 
     used: float
     limit: float
-    heard: float
-    known_s_ago: float
+    heard_fraction: float
+    data_age_s: float
     quota: float
     window_s: float
 
@@ -80,7 +80,7 @@
         self._restored: dict[str, tuple[_RestoredUse, ...]] = {}
         self._bounds = bounds
         self._uses: dict[str, Use] = {}
-        self._fleet = Fleet()
+        self._fleet = FleetView()
         self._has_written = False
         # Whether a request was charged to a quota whose use is so high that the
         # admissions since the last report may decide about requests.
@@ -107,15 +107,15 @@
         return self._fleet.refresh_s
 
     @property
-    def known_at(self) -> float | None:
+    def acknowledged_at(self) -> float | None:
         """Return the time up to which others know the admissions made here."""
-        return self._fleet.known_at
+        return self._fleet.acknowledged_at
 
-    def take_fleet(self, fleet: Fleet) -> None:
+    def apply_fleet(self, fleet: FleetView) -> None:
         """Update how much of the fleet's use is known."""
         self._fleet = fleet
 
-    def recall(self, written: Written, now: float) -> None:
+    def restore(self, written: StoredUse, now: float) -> None:
         """Restore the stored use of the fleet after a restart.
 
         The time since the record was written is unknown and taken as zero.
@@ -126,18 +126,18 @@
                 for age_s, amount in parts
             )
 
-    def knows_past(self, now: float) -> bool:
+    def knows_full_window(self, now: float) -> bool:
         """Return whether use before the start is known or out of the window."""
         return now >= self._unknown_until
 
-    def adopt(self, fleet_use: Written, now: float) -> None:
+    def adopt(self, fleet_use: StoredUse, now: float) -> None:
         """Adopt the use of all others from an instance that did not restart."""
         self._known_from = now
         self._unknown_until = now
         for name, use in self._uses.items():
             use.adopt(fleet_use.get(name, ()), now)
 
-    def take(self, name: str, amount: float, now: float) -> float:
+    def charge(self, name: str, amount: float, now: float) -> float:
         """Charge an amount; return 0, or the seconds until it may fit."""
         use = self._uses.get(name)
         if use is None or not use.workspace.rate:
@@ -161,14 +161,18 @@
         self._refresh_wanted = False
         return wanted
 
-    def take_spare(self, name: str, amount: float, now: float) -> bool:
+    def charge_over_quota(self, name: str, amount: float, now: float) -> bool:
         """Charge an amount above the quota, for slots that are otherwise free.
 
         This requires that the use of all instances is known, since the
         overshoot limit of the operators applies to the whole fleet.
         """
         use = self._uses.get(name)
-        if use is None or self._fleet.heard < 1 or not self.knows_past(now):
+        if (
+            use is None
+            or self._fleet.heard_fraction < 1
+            or not self.knows_full_window(now)
+        ):
             return False
         used = self._used(use, now)
         unreported = use.unreported(now, self._fleet.refresh_s)
@@ -179,22 +183,22 @@
         use.admit(amount, now)
         return True
 
-    def seen(self, name: str, now: float) -> QuotaSeen | None:
+    def state(self, name: str, now: float) -> QuotaState | None:
         """Return the current state of a quota, None if there is no quota."""
         use = self._uses.get(name)
         if use is None or not use.workspace.rate:
             return None
-        known_at = self._fleet.known_at
-        return QuotaSeen(
+        known_at = self._fleet.acknowledged_at
+        return QuotaState(
             self._used(use, now),
             self._limits(use).allowed,
-            self._fleet.heard,
+            self._fleet.heard_fraction,
             0 if known_at is None else now - known_at,
             self._limits(use).quota,
             self._bounds.window_s,
         )
 
-    def give_back(
+    def refund(
         self,
         name: str,
         amount: float,
@@ -211,9 +215,9 @@
         if use is None or not use.workspace.rate:
             return
         if now - charged_at < self._bounds.window_s:
-            use.give_back(amount, charged_at, now)
+            use.refund(amount, charged_at, now)
 
-    def reported(
+    def record_admitted(
         self,
         name: str,
         amount: float,
@@ -223,9 +227,9 @@
         """Record an amount that another instance admitted `age_s` ago."""
         use = self._uses.get(name)
         if use is not None:
-            use.reported(amount, now, age_s)
+            use.record_admitted(amount, now, age_s)
 
-    def returned(
+    def record_refund(
         self,
         name: str,
         amount: float,
@@ -235,14 +239,14 @@
         """Record a refund of another instance."""
         use = self._uses.get(name)
         if use is not None:
-            use.take_back(amount, charged_at, now)
+            use.record_refund(amount, charged_at, now)
 
-    def own_returned(self, name: str) -> float:
+    def own_refunded(self, name: str) -> float:
         """Return the total that this instance refunded since its start."""
         use = self._uses.get(name)
         return 0 if use is None else use.returned
 
-    def heard(self, name: str, fleet_use: FleetUse) -> None:
+    def record_fleet_use(self, name: str, fleet_use: FleetUse) -> None:
         """Record the use of the fleet as another instance knows it."""
         use = self._uses.get(name)
         if use is not None:
@@ -268,24 +272,24 @@
                 )
         return reports
 
-    def own_parts(self, name: str, now: float) -> Parts:
+    def own_parts(self, name: str, now: float) -> AgedAmounts:
         """Return the admissions of this instance in the last window, by age."""
         use = self._uses.get(name)
-        return () if use is None else use.coarse_parts(use.own.parts(now))
+        return () if use is None else use.coarse_parts(use.own.buckets(now))
 
-    def fleet_parts(self, name: str, now: float) -> Parts:
+    def fleet_parts(self, name: str, now: float) -> AgedAmounts:
         """Return the known admissions of all instances, by age."""
         use = self._uses.get(name)
         if use is None:
             return ()
-        return use.coarse_parts((*use.own.parts(now), *use.others_parts(now)))
+        return use.coarse_parts((*use.own.buckets(now), *use.others_parts(now)))
 
-    def returns(self, name: str, after: float, now: float) -> Parts:
+    def refunds_after(self, name: str, after: float, now: float) -> AgedAmounts:
         """Return refunds after a total of `after`, by ages of their charges."""
         use = self._uses.get(name)
-        return () if use is None else use.returns(after, now)
+        return () if use is None else use.refunds_after(after, now)
 
-    def worth_writing(self, now: float) -> Written:
+    def use_to_store(self, now: float) -> StoredUse:
         """Return the fleet-wide use of those quotas whose use is high."""
         high_use = {}
         for name, use in self._uses.items():
@@ -293,14 +297,14 @@
             if self._used(use, now) > threshold:
                 high_use[name] = (
                     *self._restored_parts(name, now),
-                    *use.own.parts(now),
+                    *use.own.buckets(now),
                     *use.others_parts(now),
                 )
         return high_use
 
-    def due_writing(self, now: float) -> Written | None:
+    def use_due_for_storing(self, now: float) -> StoredUse | None:
         """Return the use to be written to the store now, None for no write."""
-        high_use = self.worth_writing(now)
+        high_use = self.use_to_store(now)
         if not high_use:
             return high_use if self._has_written else None
         for name in high_use:
@@ -315,7 +319,7 @@
                 return high_use
         return None
 
-    def note_written(self, written: Written) -> None:
+    def mark_stored(self, written: StoredUse) -> None:
         """Record what was written; empty if this instance is not the writer."""
         self._has_written = bool(written)
         for name, use in self._uses.items():
@@ -327,7 +331,7 @@
         now: float,
     ) -> tuple[tuple[float, float], ...]:
         # Use restored after one restart must also survive a second one.
-        if self.knows_past(now):
+        if self.knows_full_window(now):
             return ()
         return tuple(
             (self._bounds.window_s - (part.ends_at - now), part.amount)
@@ -346,9 +350,11 @@
         An instance that hears a part of the fleet has the same part of the
         quota, so that part of the earlier use of the whole fleet counts.
         """
-        if self.knows_past(now):
+        if self.knows_full_window(now):
             return 0
-        return self._fleet.heard * self._fleet_use_before_start(use, now)
+        return self._fleet.heard_fraction * self._fleet_use_before_start(
+            use, now
+        )
 
     def _fleet_use_before_start(self, use: Use, now: float) -> float:
         """Return the fleet's use before this start within the window."""
@@ -375,37 +381,37 @@
         share, and in a large fleet while the others know of recent admissions.
         """
         fleet = self._fleet
-        if fleet.known_at is None:
+        if fleet.acknowledged_at is None:
             return math.inf
         limits = self._limits(use)
         is_low = limits.is_low_use(used)
-        counted_at = fleet.counted_at if is_low else fleet.known_at
+        counted_at = fleet.propagated_at if is_low else fleet.acknowledged_at
         is_low = is_low and counted_at is not None
-        outstanding = use.outstanding.since(
-            fleet.known_at if counted_at is None else counted_at,
-            fleet.known_at,
+        outstanding = use.outstanding.amount_since(
+            fleet.acknowledged_at if counted_at is None else counted_at,
+            fleet.acknowledged_at,
         )
         known = used - outstanding
         first = within_quota and not outstanding
         if first and (
-            is_low or (fleet.is_mesh and fleet.counted_at is not None)
+            is_low or (fleet.is_full_mesh and fleet.propagated_at is not None)
         ):
             return limits.allowed - known
         fraction = self._share(use.own.total(now) - outstanding, known, use)
         enlarged = is_low
-        if not fleet.is_mesh:
+        if not fleet.is_full_mesh:
             enlarged = first or (within_quota and self._is_recent(now))
         if enlarged:
             fraction = max(fraction, limits.enlarged_share)
         return fraction * limits.remaining(known) - outstanding
 
     def _is_recent(self, now: float) -> bool:
-        known_at = self._fleet.known_at
+        known_at = self._fleet.acknowledged_at
         return known_at is None or now - known_at <= 2 * self._fleet.refresh_s
 
     def _share(self, own: float, known: float, use: Use) -> float:
         """Return this instance's share: half equal, half by its own use."""
-        members = max(1, self._fleet.heard * self._fleet.instances)
+        members = max(1, self._fleet.heard_fraction * self._fleet.instances)
         threshold = self._limits(use).high_threshold
         return (1 / members + own / max(known, threshold)) / 2
 
--- a/packages/dispatch/src/tallyhall_dispatch/quota_limits.py
+++ b/packages/dispatch/src/tallyhall_dispatch/quota_limits.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from .desired import Workspace
-from .topology import is_mesh
+from .topology import is_full_mesh
 
 # Use above this fraction of a quota is reported by hubs with every heartbeat,
 # so that instances without a direct connection know each other's use.
@@ -49,24 +49,24 @@
     slack: float
 
 
-class Fleet(msgspec.Struct, frozen=True):
+class FleetView(msgspec.Struct, frozen=True):
     """How much of the fleet this instance hears.
 
-    heard: fraction of the fleet that is heard. known_at: admissions made here
-    up to this time are known to all instances that are heard, None if no other
-    is. counted_at: the same for an instance that reports to all others, None
-    while any instance may be cut off.
+    heard_fraction: fraction of the fleet that is heard. acknowledged_at:
+    admissions made here up to this time are known to all instances that are
+    heard, None if no other is. propagated_at: the same for an instance that
+    reports to all others, None while any instance may be cut off.
     """
 
     instances: int = 1
-    heard: float = 1
-    known_at: float | None = None
-    counted_at: float | None = None
+    heard_fraction: float = 1
+    acknowledged_at: float | None = None
+    propagated_at: float | None = None
 
     @property
-    def is_mesh(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Return whether all instances are connected to each other."""
-        return is_mesh(self.instances)
+        return is_full_mesh(self.instances)
 
     @property
     def refresh_s(self) -> float:
@@ -79,7 +79,7 @@
 
     workspace: Workspace
     bounds: QuotaBounds
-    fleet: Fleet
+    fleet: FleetView
 
     @property
     def quota(self) -> float:
@@ -100,10 +100,10 @@
     @property
     def allowed(self) -> float:
         """Return the usable quota, reduced by the unheard part of the fleet."""
-        if self.fleet.heard >= 1:
+        if self.fleet.heard_fraction >= 1:
             return self.quota
         extra = self.max_overshoot * _ISOLATED_FRACTION / self.fleet.instances
-        return min(self.quota, self.quota * self.fleet.heard + extra)
+        return min(self.quota, self.quota * self.fleet.heard_fraction + extra)
 
     @property
     def high_threshold(self) -> float:
@@ -121,7 +121,9 @@
     def is_low_use(self, used: float) -> bool:
         """Return whether unreported admissions cannot exceed the quota."""
         fraction = (
-            _LOW_USE_FRACTION_MESH if self.fleet.is_mesh else _LOW_USE_FRACTION
+            _LOW_USE_FRACTION_MESH
+            if self.fleet.is_full_mesh
+            else _LOW_USE_FRACTION
         )
         return used < fraction * self.quota
 
@@ -131,8 +133,8 @@
 
     def remaining(self, known: float) -> float:
         """Return what all instances together may still admit."""
-        limit = self.ceiling if self.fleet.heard >= 1 else self.allowed
-        if self.fleet.is_mesh:
+        limit = self.ceiling if self.fleet.heard_fraction >= 1 else self.allowed
+        if self.fleet.is_full_mesh:
             return limit - known
         # Hubs do not report lower use.
         return limit - max(known, self.high_threshold)
--- a/packages/dispatch/src/tallyhall_dispatch/quota_use.py
+++ b/packages/dispatch/src/tallyhall_dispatch/quota_use.py
@@ -38,7 +38,7 @@
 _REPORTED_STEPS = 8
 
 # Amounts admitted, each preceded by its age in seconds.
-Parts = tuple[tuple[float, float], ...]
+AgedAmounts = tuple[tuple[float, float], ...]
 
 
 class UseReport(msgspec.Struct, frozen=True):
@@ -126,35 +126,37 @@
         self.total += amount
         self.fleet_total += amount
 
-    def give_back(self, amount: float, charged_at: float, now: float) -> None:
+    def refund(self, amount: float, charged_at: float, now: float) -> None:
         """Refund a request that did not run, at the time of its charge."""
-        self.own.take_back(amount, charged_at, now)
-        self.outstanding.take_back(amount, charged_at)
+        self.own.subtract(amount, charged_at, now)
+        self.outstanding.subtract(amount, charged_at)
         self.returned += amount
         self.fleet_total -= amount
         self._refunds.append(_Refund(now, charged_at, amount, self.returned))
         self._expire_refunds(now)
 
-    def adopt(self, parts: Parts, now: float) -> None:
+    def adopt(self, parts: AgedAmounts, now: float) -> None:
         """Adopt the use of all others until now from another instance."""
         self._known_from = now
         self._adopted = SlidingSum(self._window_s, _BUCKETS)
         for age_s, amount in parts:
             self._adopted.add(amount, now, age_s)
 
-    def reported(self, amount: float, now: float, age_s: float) -> None:
+    def record_admitted(self, amount: float, now: float, age_s: float) -> None:
         """Record an amount that another instance admitted `age_s` ago."""
         self.fleet_total += amount
         self._reported.add(amount, now, age_s)
         if self._needs_earlier(now) and now - age_s >= self._known_from:
             self._adopted.add(amount, now, age_s)
 
-    def take_back(self, amount: float, charged_at: float, now: float) -> None:
+    def record_refund(
+        self, amount: float, charged_at: float, now: float
+    ) -> None:
         """Record a refund of another instance."""
         self.fleet_total -= amount
-        self._reported.take_back(amount, charged_at, now)
+        self._reported.subtract(amount, charged_at, now)
         if charged_at >= self._known_from:
-            self._adopted.take_back(amount, charged_at, now)
+            self._adopted.subtract(amount, charged_at, now)
 
     def others(self, now: float, before: float = 0) -> float:
         """Return the use of others as they reported it themselves.
@@ -166,12 +168,12 @@
             return reported
         return max(reported, before + self._adopted.total(now))
 
-    def others_parts(self, now: float) -> Parts:
+    def others_parts(self, now: float) -> AgedAmounts:
         """Return the reported use of others by age."""
         reported = self._reported.total(now)
         if not self._needs_earlier(now) or reported >= self._adopted.total(now):
-            return self._reported.parts(now)
-        return self._adopted.parts(now)
+            return self._reported.buckets(now)
+        return self._adopted.buckets(now)
 
     def others_from_hubs(self, own: float, now: float) -> float:
         """Return the use of others according to hubs.
@@ -238,7 +240,7 @@
         waits = (refund.at - refund.charged_at for refund in self._refunds)
         return max(waits, default=0)
 
-    def returns(self, after: float, now: float) -> Parts:
+    def refunds_after(self, after: float, now: float) -> AgedAmounts:
         """Return refunds after a total of `after`, by ages of their charges."""
         self._expire_refunds(now)
         return merged(
@@ -250,7 +252,7 @@
             self._window_s / _BUCKETS,
         )
 
-    def coarse_parts(self, parts: Iterable[tuple[float, float]]) -> Parts:
+    def coarse_parts(self, parts: Iterable[tuple[float, float]]) -> AgedAmounts:
         """Return amounts merged into the age steps that are reported."""
         return merged(parts, self._window_s / _REPORTED_STEPS)
 
@@ -268,7 +270,7 @@
             returns.popleft()
 
 
-def merged(parts: Iterable[tuple[float, float]], step_s: float) -> Parts:
+def merged(parts: Iterable[tuple[float, float]], step_s: float) -> AgedAmounts:
     """Merge the amounts of each age step into one at their youngest age."""
     steps: dict[int, tuple[float, float]] = {}
     for age_s, amount in parts:
--- a/packages/dispatch/src/tallyhall_dispatch/refusing.py
+++ b/packages/dispatch/src/tallyhall_dispatch/rejection.py
@@ -14,8 +14,8 @@
 from .forecast import Forecast
 from .group import UpstreamGroup
 from .jobs import Job
-from .shares import GrantRates
 from .switches import Switches
+from .urgency_stats import GrantRates
 
 # Bounds for the retry delay of a rejected caller, in seconds: the minimum, the
 # maximum, and the minimum for a caller that will be late at any retry.
@@ -38,7 +38,7 @@
 _MAX_LIMIT_RETRY_S = 30.0
 
 
-class Outlook(msgspec.Struct, frozen=True):
+class RejectionForecast(msgspec.Struct, frozen=True):
     """The forecast on which the rejection of a job was based.
 
     ahead: number of jobs served before it. wait_s: expected wait. rate: slots
@@ -51,12 +51,12 @@
     free: int = 0
 
 
-class GivenUp(msgspec.Struct, frozen=True):
+class RejectDecision(msgspec.Struct, frozen=True):
     """A job was rejected without being sent, as it cannot meet its deadline."""
 
     key: str
     retry_after_s: float
-    outlook: Outlook = Outlook()
+    forecast: RejectionForecast = RejectionForecast()
 
 
 class RejectionPolicy:
@@ -80,24 +80,24 @@
 
     def evaluate(
         self, job: Job, ahead: int, forecast: Forecast
-    ) -> GivenUp | None:
+    ) -> RejectDecision | None:
         """Return the rejection of a job, or None if it may stay in the queue.
 
         ahead: number of jobs of the same urgency that are served before it.
         """
         if not self._group.may_serve(job):
-            return GivenUp(job.key, _MIN_RETRY_S)
-        backoff_s = self._group.backoff_ends_in_s(job.resting, forecast.now)
+            return RejectDecision(job.key, _MIN_RETRY_S)
+        backoff_s = self._group.backoff_ends_in_s(job.backoffs, forecast.now)
         if backoff_s:
             # No upstream would accept an earlier retry.
-            return GivenUp(job.key, max(_MIN_RETRY_S, backoff_s))
+            return RejectDecision(job.key, max(_MIN_RETRY_S, backoff_s))
         forecast = self._group.forecast_for(job, forecast)
         wait_s = self._wait_s(job.urgency, ahead, forecast)
         if self._is_rejected(job, wait_s, forecast):
-            return GivenUp(
+            return RejectDecision(
                 job.key,
                 self._retry_s(job, wait_s, forecast.now),
-                Outlook(
+                RejectionForecast(
                     ahead,
                     wait_s,
                     forecast.rate,
@@ -107,14 +107,17 @@
         return None
 
     def _is_rejected(self, job: Job, wait_s: float, forecast: Forecast) -> bool:
-        if job.spare or forecast.now >= job.give_up_at - _REJECTION_MARGIN_S:
+        if (
+            job.over_quota
+            or forecast.now >= job.reject_at - _REJECTION_MARGIN_S
+        ):
             return True
         if not self._switches.early_refusals:
             return False
         starts_at = forecast.now + wait_s
         if forecast.can_meet_deadline(job, starts_at):
             return False
-        is_unserveable = starts_at > job.give_up_at
+        is_unserveable = starts_at > job.reject_at
         return is_unserveable or self.in_time_count >= _IN_TIME_THRESHOLD
 
     def _retry_s(self, job: Job, wait_s: float, now: float) -> float:
--- a/packages/dispatch/src/tallyhall_dispatch/retries.py
+++ b/packages/dispatch/src/tallyhall_dispatch/retries.py
@@ -34,11 +34,11 @@
         self._requests = SlidingSum(limits.window_s)
         self._retries = SlidingSum(limits.window_s)
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request from a caller."""
         self._requests.add(1, now)
 
-    def take(self, now: float, instances: int) -> bool:
+    def try_retry(self, now: float, instances: int) -> bool:
         """Count one retry if the budget allows it; return whether it does."""
         share = self._limits.allowance * _ALLOWANCE_PART / max(1, instances)
         allowed = self._limits.ratio * self._requests.total(now) + share
--- a/packages/dispatch/src/tallyhall_dispatch/rollout.py
+++ b/packages/dispatch/src/tallyhall_dispatch/rollout.py
@@ -164,10 +164,11 @@
             return Stage.shifting
         return Stage.judging
 
-    def allowed(self, now: float, *, once: bool = False) -> float:
+    def allowed(self, now: float, *, non_idempotent: bool = False) -> float:
         """Return the maximum number of requests of the target by now.
 
-        once: for non-repeatable requests, whose limit is higher near the end.
+        non_idempotent: for non-repeatable requests, whose limit is higher
+        near the end.
         """
         bounds = self._bounds
         passed = min(1, max(0, now - self.began_at) / self.order.limit_s)
@@ -175,28 +176,28 @@
         fraction += passed * (_EVALUATION_ALLOWANCE - _INITIAL_ALLOWANCE)
         evaluation_limit = _EVALUATION_SHARE * bounds.share * self.seen
         evaluation_limit += fraction * bounds.allowance
-        if not once or self.stage(now) is Stage.judging:
+        if not non_idempotent or self.stage(now) is Stage.judging:
             return evaluation_limit
         limit = bounds.share * self.seen
         limit += (1 - _UNUSED_ALLOWANCE) * bounds.allowance
         reserved = self._rate(now) * self._completion_lead_s() * _RESERVE_FACTOR
         return max(evaluation_limit, limit - reserved)
 
-    def may_expose(self, job: Job, now: float) -> bool:
+    def may_place_on_target(self, job: Job, now: float) -> bool:
         """Return whether a job may be placed on the target.
 
         Jobs that failed elsewhere, are suspected of crashing upstreams or
         exceed a quota are not exposed to a version that may fail. The limit is
         divided among the routes, so that each of them is evaluated.
         """
-        if job.excluded or job.spare or job.suspect:
+        if job.excluded or job.over_quota or job.suspect_digest:
             return False
         if now >= self._valid_until or self.exposed >= self._written:
             return False
         if self.analysis.rejection_reason is not None:
             return False
-        if job.once and self.stage(now) is not Stage.judging:
-            return self.exposed + 1 <= self.allowed(now, once=True)
+        if job.non_idempotent and self.stage(now) is not Stage.judging:
+            return self.exposed + 1 <= self.allowed(now, non_idempotent=True)
         if not self._is_batch_open(now):
             return False
         seen = max(1, self._seen_by_route.total())
@@ -205,7 +206,7 @@
             now
         )
 
-    def placed(self, job: Job, *, canary: bool) -> None:
+    def record_placed(self, job: Job, *, canary: bool) -> None:
         """Record that a job was placed."""
         self.seen += 1
         self._seen_by_route[job.route] += 1
@@ -213,7 +214,7 @@
             self.exposed += 1
             self._exposed_by_route[job.route] += 1
 
-    def ended(
+    def record_ended(
         self,
         job: Job,
         upstream: str,
@@ -254,13 +255,15 @@
         if self.analysis.bad - self._written_bad >= _MAX_UNWRITTEN_BAD:
             return True
         used_up = self.exposed >= self._written
-        return used_up and self.exposed + 1 <= self.allowed(now, once=True)
+        return used_up and self.exposed + 1 <= self.allowed(
+            now, non_idempotent=True
+        )
 
     def next_record(
         self, leader: str, now: float, day_s: float
     ) -> RolloutRecord:
         """Return the record to write, with a new budget block."""
-        limit = self.allowed(now, once=True)
+        limit = self.allowed(now, non_idempotent=True)
         per_s = self._rate(now) * self._bounds.share
         if self.stage(now) is not Stage.judging:
             per_s = self._rate(now)
--- a/packages/dispatch/src/tallyhall_dispatch/switches.py
+++ b/packages/dispatch/src/tallyhall_dispatch/switches.py
@@ -41,4 +41,4 @@
     speeds: bool = True
 
 
-ALL_ON = Switches()
+ALL_ENABLED = Switches()
--- a/packages/dispatch/src/tallyhall_dispatch/topology.py
+++ b/packages/dispatch/src/tallyhall_dispatch/topology.py
@@ -41,20 +41,20 @@
     """The peers selected by an instance.
 
     hubs: instances that hear all others. owners: hubs that may own services.
-    linked: instances to keep a stream to.
+    peers: instances to keep a stream to.
     """
 
     hubs: frozenset[str]
     owners: frozenset[str]
-    linked: frozenset[str]
+    peers: frozenset[str]
 
 
-def is_mesh(instances: int) -> bool:
+def is_full_mesh(instances: int) -> bool:
     """Return whether a fleet of this size forms a full mesh."""
     return instances <= _MAX_MESH_SIZE
 
 
-def beat_s(peers: int) -> float:
+def heartbeat_s(peers: int) -> float:
     """Return the heartbeat interval for this many peers, in seconds."""
     return _MIN_BEAT_S * min(
         max(1, peers / _FULL_RATE_PEERS),
@@ -87,7 +87,7 @@
         offered to callers.
         """
         others = registered - {self._name}
-        if is_mesh(len(registered)):
+        if is_full_mesh(len(registered)):
             answering = registered - silent
             return PeerSelection(answering, answering - retiring, others)
         if self._ranked_for != (registered, retiring):
--- a/packages/dispatch/src/tallyhall_dispatch/placing.py
+++ b/packages/dispatch/src/tallyhall_dispatch/upstream_selection.py
@@ -10,12 +10,12 @@
 import random
 from collections.abc import Iterable, Iterator
 
-from .engines import UpstreamState
 from .forecast import Forecast
 from .group import UpstreamGroup
 from .jobs import Job
-from .shares import AnswerLengths
 from .switches import Switches
+from .upstream_state import UpstreamState
+from .urgency_stats import ResponseLengths
 
 # Expected costs are multiplied by a random factor of up to this.
 _MAX_JITTER = 1.1
@@ -46,11 +46,11 @@
         self._event_tokens = event_tokens
         self._rng = rng
         self._switches = switches
-        self._lengths = AnswerLengths()
+        self._lengths = ResponseLengths()
 
     def answered(self, job: Job, events: int) -> None:
         """Update the expected response length from that of a job."""
-        self._lengths.note(job.urgency, events)
+        self._lengths.record(job.urgency, events)
 
     def best(
         self,
@@ -88,7 +88,7 @@
         return min(stated, self._lengths.events(job.urgency, stated))
 
     def _cost(self, view: UpstreamState, job: Job, events: float) -> float:
-        if job.suspect:
+        if job.suspect_digest:
             # If it terminates the upstream, all requests running there fail.
             return 1 + len(view.runs)
         if not self._switches.speeds:
@@ -158,6 +158,6 @@
     """
     if view.incarnation in job.excluded:
         return True
-    if now < job.resting.get(view.incarnation, now):
+    if now < job.backoffs.get(view.incarnation, now):
         return True
-    return bool(job.suspect) and view.has_suspect_in_prefill
+    return bool(job.suspect_digest) and view.has_suspect_in_prefill
--- a/packages/dispatch/src/tallyhall_dispatch/engines.py
+++ b/packages/dispatch/src/tallyhall_dispatch/upstream_state.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from .desired import Upstream
-from .jobs import NOT_SENT, Ending, Job, RunReport
+from .jobs import NOT_SENT, AttemptOutcome, Job, RunReport
 from .token_bucket import TokenBucket
 
 # Weight of the latest sample in a moving average: ten samples make up four
@@ -20,7 +20,7 @@
 # Defaults until the first sample: seconds per event, seconds per prompt token,
 # and seconds per plain request.
 DEFAULT_EVENT_S = 0.03
-FIRST_TOKEN_S = 0.00003
+DEFAULT_PREFILL_TOKEN_S = 0.00003
 DEFAULT_PLAIN_S = 0.05
 # Minimum prompt length, in tokens, for a sample of the prefill speed. Fixed
 # costs dominate the time of shorter prompts.
@@ -29,7 +29,7 @@
 _MIN_HOLD_S = 0.005
 # Part of the time to the first event that does not depend on the prompt, in
 # seconds.
-FIRST_FIXED_S = 0.03
+FIXED_FIRST_EVENT_S = 0.03
 # Seconds for which a failing upstream is ejected. Each further consecutive
 # failure doubles the time, up to the maximum.
 _EJECTION_S = 0.5
@@ -46,7 +46,12 @@
 _PAUSE_DEVIATIONS = 1.0
 
 _FAILURES = frozenset(
-    (Ending.failed, Ending.unknown, Ending.broken, Ending.unsent),
+    (
+        AttemptOutcome.failed,
+        AttemptOutcome.unknown,
+        AttemptOutcome.broken,
+        AttemptOutcome.unsent,
+    ),
 )
 
 
@@ -59,7 +64,7 @@
 
     job: Job
     prefill_tokens_ahead: int
-    reading: bool = True
+    in_prefill: bool = True
 
 
 class UpstreamState:
@@ -73,7 +78,7 @@
         self.incarnation = upstream.incarnation
         self.runs: dict[str, RunningJob] = {}
         # Prompt tokens of the runs whose response has not started.
-        self.reading_tokens = 0
+        self.prefill_tokens = 0
         # None until the first sample, which replaces the default completely.
         # Otherwise it would take ten jobs to detect an engine that is twice as
         # slow.
@@ -84,7 +89,7 @@
         self._pause_s: float | None = None
         self._pause_deviation_s: float = 0
         # No default, so that no request is refused because of one.
-        self.hold_s: float | None = None
+        self.service_time_s: float | None = None
         self._ejected_until: float = 0
         self._consecutive_failures = 0
         # For the rate limit announced by the upstream, None if there is none.
@@ -93,15 +98,15 @@
     @property
     def slot_release_rate(self) -> float:
         """Return how many slots become free per second, 0 if unknown."""
-        if self.hold_s is None:
+        if self.service_time_s is None:
             return 0
-        rate = self.upstream.slots / max(_MIN_HOLD_S, self.hold_s)
+        rate = self.upstream.slots / max(_MIN_HOLD_S, self.service_time_s)
         return rate if self.bucket is None else min(rate, self.bucket.rate)
 
     @property
     def token_s(self) -> float:
         """Return the expected prefill time per prompt token."""
-        return self._token_s or FIRST_TOKEN_S
+        return self._token_s or DEFAULT_PREFILL_TOKEN_S
 
     def free_slots(self, share: float) -> int:
         """Return how many more requests may run in this share of the slots."""
@@ -114,7 +119,7 @@
             return False
         return self.bucket is None or self.bucket.has_token(now)
 
-    def is_aside(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         """Return whether the upstream is ejected because of its failures."""
         return now < self._ejected_until
 
@@ -122,15 +127,16 @@
     def has_suspect_in_prefill(self) -> bool:
         """Return whether a suspect runs here that has no response yet."""
         return any(
-            run.reading and run.job.suspect for run in self.runs.values()
+            run.in_prefill and run.job.suspect_digest
+            for run in self.runs.values()
         )
 
     def first_s(self, job: Job) -> float:
         """Return the expected time to the first event of a job."""
         if not job.output_tokens:
             return self._plain_s or DEFAULT_PLAIN_S
-        tokens = self.reading_tokens + job.prompt_tokens
-        return FIRST_FIXED_S + tokens * self.token_s
+        tokens = self.prefill_tokens + job.prompt_tokens
+        return FIXED_FIRST_EVENT_S + tokens * self.token_s
 
     def total_s(self, job: Job, events: float) -> float:
         """Return the expected time to the last of this number of events."""
@@ -155,8 +161,8 @@
 
     def grant(self, job: Job) -> None:
         """Record that a job runs here."""
-        self.runs[job.key] = RunningJob(job, self.reading_tokens)
-        self.reading_tokens += job.prompt_tokens
+        self.runs[job.key] = RunningJob(job, self.prefill_tokens)
+        self.prefill_tokens += job.prompt_tokens
         if self.bucket is not None:
             self.bucket.take_token()
 
@@ -166,7 +172,7 @@
         if run is not None:
             self._end_prefill(run)
 
-    def first_byte(self, key: str) -> None:
+    def record_first_byte(self, key: str) -> None:
         """Record that the prefill of a job is complete."""
         run = self.runs.get(key)
         if run is not None:
@@ -182,8 +188,10 @@
             self.bucket.return_token()
         self._update_ejection(report.ending, now)
         if report.total_s:
-            self.hold_s = _moving_average(self.hold_s, report.total_s)
-        if report.ending is not Ending.answered:
+            self.service_time_s = _moving_average(
+                self.service_time_s, report.total_s
+            )
+        if report.ending is not AttemptOutcome.answered:
             return
         if not run.job.output_tokens:
             self._plain_s = _moving_average(self._plain_s, report.total_s)
@@ -195,7 +203,7 @@
             self._sample_pause(report.pause_s)
         tokens = run.prefill_tokens_ahead + run.job.prompt_tokens
         if report.first_s is not None and tokens >= _MIN_PREFILL_TOKENS:
-            prefill_s = max(0, report.first_s - FIRST_FIXED_S)
+            prefill_s = max(0, report.first_s - FIXED_FIRST_EVENT_S)
             self._token_s = _moving_average(self._token_s, prefill_s / tokens)
 
     def _sample_pause(self, pause_s: float) -> None:
@@ -207,12 +215,12 @@
         self._pause_s = _moving_average(self._pause_s, pause_s)
 
     def _end_prefill(self, run: RunningJob) -> None:
-        if run.reading:
-            run.reading = False
-            self.reading_tokens -= run.job.prompt_tokens
+        if run.in_prefill:
+            run.in_prefill = False
+            self.prefill_tokens -= run.job.prompt_tokens
 
-    def _update_ejection(self, ending: Ending, now: float) -> None:
-        if ending is Ending.answered:
+    def _update_ejection(self, ending: AttemptOutcome, now: float) -> None:
+        if ending is AttemptOutcome.answered:
             self._consecutive_failures = 0
             self._ejected_until = 0
             return
@@ -220,7 +228,7 @@
             return
         self._consecutive_failures += 1
         # If nothing listens there, one refused connection is sufficient.
-        threshold = 1 if ending is Ending.unsent else _FAILURES_TO_EJECT
+        threshold = 1 if ending is AttemptOutcome.unsent else _FAILURES_TO_EJECT
         excess = self._consecutive_failures - threshold
         if excess >= 0:
             ejection_s = min(_MAX_EJECTION_S, _EJECTION_S * 2**excess)
--- a/packages/dispatch/src/tallyhall_dispatch/shares.py
+++ b/packages/dispatch/src/tallyhall_dispatch/urgency_stats.py
@@ -25,26 +25,26 @@
 _RATE_BUCKETS = 10
 
 
-class ServedShares:
+class ServedFractions:
     """Fraction of the jobs of each urgency class that was served in time."""
 
     def __init__(self) -> None:
         """Start as if all jobs had been served in time."""
-        self._shares: dict[int, float] = {}
+        self._fractions: dict[int, float] = {}
 
-    def note(self, urgency: int, *, served: bool) -> None:
+    def record(self, urgency: int, *, served: bool) -> None:
         """Record whether a job was served in time."""
-        share = self._shares.get(urgency, 1)
-        self._shares[urgency] = share + _SMOOTHING * (served - share)
+        fraction = self._fractions.get(urgency, 1)
+        self._fractions[urgency] = fraction + _SMOOTHING * (served - fraction)
 
     def rank(self, urgency: int) -> float:
         """Return the sort key of an urgency class; the lowest goes first."""
         if urgency <= _MOST_URGENT:
             return _TOP_RANK
-        return self._shares.get(urgency, 1) + _URGENCY_BIAS * urgency
+        return self._fractions.get(urgency, 1) + _URGENCY_BIAS * urgency
 
 
-class AnswerLengths:
+class ResponseLengths:
     """Moving average of the number of response events per urgency class.
 
     The token limit that callers state is about ten times the actual length.
@@ -56,7 +56,7 @@
         """Start without responses."""
         self._events: dict[int, float] = {}
 
-    def note(self, urgency: int, events: int) -> None:
+    def record(self, urgency: int, events: int) -> None:
         """Record the length of a response."""
         known = self._events.get(urgency, events)
         self._events[urgency] = known + _SMOOTHING * (events - known)
@@ -73,7 +73,7 @@
         """Start without grants."""
         self._grants: dict[int, SlidingSum] = {}
 
-    def note(self, urgency: int, now: float) -> None:
+    def record(self, urgency: int, now: float) -> None:
         """Record that a job was granted a slot."""
         grants = self._grants.get(urgency)
         if grants is None:
--- a/packages/dispatch/src/tallyhall_dispatch/versions.py
+++ b/packages/dispatch/src/tallyhall_dispatch/versions.py
@@ -78,18 +78,20 @@
         # Version that receives requests if no order says otherwise.
         self._accepted = ''
         self._seen_at: float = 0
-        self._is_absent = False
+        self._has_lost_accepted = False
 
-    def is_absent(self, now: float) -> bool:
+    def lost_accepted_version(self, now: float) -> bool:
         """Return whether the accepted version has lost all upstreams."""
-        return self._is_absent and now - self._seen_at >= _ACCEPT_OTHER_S
+        return (
+            self._has_lost_accepted and now - self._seen_at >= _ACCEPT_OTHER_S
+        )
 
     @property
-    def running(self) -> RolloutOrder | None:
+    def order_in_progress(self) -> RolloutOrder | None:
         """Return the order that is in progress, if any."""
         return order_in_progress(self.order, self.status)
 
-    def marked(
+    def classify(
         self,
         upstreams: Iterable[Upstream],
         now: float,
@@ -103,7 +105,7 @@
 
     def _mark(self, upstream: Upstream) -> Upstream:
         version = upstream.version
-        order = self.running
+        order = self.order_in_progress
         if order is not None and version == order.target:
             return msgspec.structs.replace(upstream, canary=True)
         if self._is_excluded(version):
@@ -111,7 +113,7 @@
         return upstream
 
     def _is_excluded(self, version: str) -> bool:
-        if self.running is not None:
+        if self.order_in_progress is not None:
             return version == self._target_if(RolloutState.rolled_back)
         return version != self._accepted
 
@@ -134,16 +136,16 @@
         completed = self._target_if(RolloutState.completed)
         if completed is not None and completed in counts:
             self._accepted = completed
-        self._is_absent = bool(counts) and self._accepted not in counts
-        if not self._is_absent:
+        self._has_lost_accepted = bool(counts) and self._accepted not in counts
+        if not self._has_lost_accepted:
             self._seen_at = now
             return
         if self._accepted and now - self._seen_at < _ACCEPT_OTHER_S:
             return
         excluded = {self._target_if(RolloutState.rolled_back)}
-        if self.running is not None:
-            excluded.add(self.running.target)
+        if self.order_in_progress is not None:
+            excluded.add(self.order_in_progress.target)
         others = sorted(counts.keys() - excluded)
         if others:
             self._accepted = max(others, key=counts.__getitem__)
-            self._is_absent = False
+            self._has_lost_accepted = False
--- a/packages/dispatch/src/tallyhall_dispatch/waiting.py
+++ b/packages/dispatch/src/tallyhall_dispatch/waiting.py
@@ -44,7 +44,7 @@
     def add(self, job: Job) -> None:
         """Add a job."""
         self._jobs[job.key] = job
-        heaps = self._deferred if job.spare else self._in_time
+        heaps = self._deferred if job.over_quota else self._in_time
         self._push(heaps, job)
 
     def remove(self, key: str) -> None:
--- a/packages/dispatch/src/tallyhall_dispatch/windows.py
+++ b/packages/dispatch/src/tallyhall_dispatch/windows.py
@@ -40,7 +40,7 @@
             return
         self._buckets.insert(index, (at, amount))
 
-    def take_back(self, amount: float, added_at: float, now: float) -> None:
+    def subtract(self, amount: float, added_at: float, now: float) -> None:
         """Subtract an amount from the bucket to which it was added.
 
         Both then leave the window at the same time. Nothing is subtracted if
@@ -82,7 +82,7 @@
             total += amount
         return total
 
-    def parts(self, now: float) -> tuple[tuple[float, float], ...]:
+    def buckets(self, now: float) -> tuple[tuple[float, float], ...]:
         """Return the age and amount of each bucket."""
         self._expire(now)
         return tuple(
--- a/packages/edge/src/tallyhall_edge/relay.py
+++ b/packages/edge/src/tallyhall_edge/relay.py
@@ -11,7 +11,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tallyhall_dispatch.jobs import Ending, RunReport
+from tallyhall_dispatch.jobs import AttemptOutcome, RunReport
 
 from .client import ClientConnection
 from .dialect import HeaderCodec, ResponseInfo
@@ -40,10 +40,10 @@
     ) -> None:
         """Relay to this exchange the events after `last_event`, if known."""
         loop = asyncio.get_running_loop()
-        self.done: asyncio.Future[Ending] = loop.create_future()
+        self.done: asyncio.Future[AttemptOutcome] = loop.create_future()
         # How the answer ended. `done` does not always tell: cancelling a task
         # that awaits it cancels the future.
-        self.ending: Ending | None = None
+        self.ending: AttemptOutcome | None = None
         # Why the connection did not deliver a complete answer, else None.
         self.error: ConnectionFailedError | None = None
         self.last_event = last_event
@@ -77,7 +77,7 @@
     def succeeded(self) -> bool:
         """Return whether a complete answer with a 2xx status arrived."""
         head = self.head
-        if head is None or self.ending is not Ending.answered:
+        if head is None or self.ending is not AttemptOutcome.answered:
             return False
         return head.is_success
 
@@ -86,7 +86,7 @@
         self._conn = conn
         self._exchange.on_writable = self._on_writable
 
-    def report(self, ending: Ending) -> RunReport:
+    def report(self, ending: AttemptOutcome) -> RunReport:
         """Return the measurements of this send."""
         now = self._loop.time()
         first_s = None
@@ -126,7 +126,7 @@
         if self.on_answer_info is not None:
             self.on_answer_info(info)
         if head.is_success and not info.is_signed:
-            self._finish(Ending.unknown)
+            self._finish(AttemptOutcome.unknown)
             return
         if head.is_success and self._streaming:
             self._splitter = EventSplitter()
@@ -161,25 +161,25 @@
 
     # -- internals
 
-    def _classify(self) -> Ending:
+    def _classify(self) -> AttemptOutcome:
         head = self.head
         info = self.info
         if head is None or info is None:
-            return Ending.unknown
+            return AttemptOutcome.unknown
         if info.is_misdirected:
-            return Ending.misplaced
+            return AttemptOutcome.misplaced
         if info.not_executed:
-            return Ending.rejected
+            return AttemptOutcome.rejected
         if self._splitter is not None or self._passthrough:
             if not self._exchange.started:
-                return Ending.unknown
+                return AttemptOutcome.unknown
             self._exchange.finish()
-            return Ending.answered
+            return AttemptOutcome.answered
         if head.status in _NOT_EXECUTED_STATUSES and not info.is_signed:
-            return Ending.unknown
+            return AttemptOutcome.unknown
         if head.status >= _FIRST_SERVER_ERROR:
-            return Ending.failed
-        return Ending.answered
+            return AttemptOutcome.failed
+        return AttemptOutcome.answered
 
     def _forward_events(self, splitter: EventSplitter, payload: bytes) -> None:
         try:
@@ -220,7 +220,7 @@
 
     def _end_incomplete(self) -> None:
         begun = self._exchange.started
-        self._finish(Ending.broken if begun else Ending.unknown)
+        self._finish(AttemptOutcome.broken if begun else AttemptOutcome.unknown)
 
     def _start_stream(self) -> None:
         head = self.head
@@ -246,7 +246,7 @@
         self._exchange.write(b''.join(self._buffered))
         self._buffered.clear()
 
-    def _finish(self, ending: Ending) -> None:
+    def _finish(self, ending: AttemptOutcome) -> None:
         self.begun.set()
         if not self.done.done():
             self.ending = ending
--- a/packages/edge/src/tallyhall_edge/request_context.py
+++ b/packages/edge/src/tallyhall_edge/request_context.py
@@ -4,7 +4,7 @@
 
 import msgspec
 from tallyhall_dispatch.gate import Admitted
-from tallyhall_dispatch.jobs import Grant
+from tallyhall_dispatch.jobs import SlotGrant
 
 from .dialect import RequestInfo
 from .exchange import Exchange
@@ -60,7 +60,7 @@
         return self.call.id_text
 
 
-def record_send(context: RequestContext, grant: Grant, now: float) -> None:
+def record_send(context: RequestContext, grant: SlotGrant, now: float) -> None:
     """Record that a request is sent now, after waiting for its slot."""
     context.sends += 1
     context.waited_s = grant.waited_s
--- a/packages/edge/src/tallyhall_edge/request_log.py
+++ b/packages/edge/src/tallyhall_edge/request_log.py
@@ -7,8 +7,8 @@
 from tallyhall_core.refusals import Refusal, RefusedError
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.gate import Admitted, OverQuotaError
-from tallyhall_dispatch.jobs import Ending, Grant, RunReport
-from tallyhall_dispatch.quota import QuotaSeen
+from tallyhall_dispatch.jobs import AttemptOutcome, RunReport, SlotGrant
+from tallyhall_dispatch.quota import QuotaState
 
 from .dialect import RequestInfo
 from .lateness import lateness
@@ -55,7 +55,7 @@
             **_charge_fields(admitted),
         )
 
-    def permitted(self, context: RequestContext, grant: Grant) -> None:
+    def permitted(self, context: RequestContext, grant: SlotGrant) -> None:
         """Log the upstream that a request is sent to."""
         self._telemetry.event(
             Event.permitted,
@@ -79,7 +79,7 @@
         The content digest of failed sends shows whether the same request fails
         repeatedly; the cause shows whether its connection was lost.
         """
-        served = report.ending is Ending.answered
+        served = report.ending is AttemptOutcome.answered
         failed = {} if served else _failure_fields(context)
         self._telemetry.event(
             Event.send_ended,
@@ -231,29 +231,29 @@
 
 
 def _charge_fields(admitted: Admitted) -> dict[str, object]:
-    if admitted.seen is None:
+    if admitted.quota_state is None:
         return {}
-    return {'charged': admitted.charged, **_quota_fields(admitted.seen)}
+    return {'charged': admitted.charged, **_quota_fields(admitted.quota_state)}
 
 
 def _over_quota_fields(cause: OverQuotaError) -> dict[str, object]:
-    if cause.seen is None:
+    if cause.quota_state is None:
         return {}
     return {
         'workspace': cause.workspace,
-        'asked': cause.asked,
-        'quota': round(cause.seen.quota),
-        'window_s': cause.seen.window_s,
-        **_quota_fields(cause.seen),
+        'asked': cause.amount,
+        'quota': round(cause.quota_state.quota),
+        'window_s': cause.quota_state.window_s,
+        **_quota_fields(cause.quota_state),
     }
 
 
-def _quota_fields(seen: QuotaSeen) -> dict[str, object]:
+def _quota_fields(seen: QuotaState) -> dict[str, object]:
     return {
         'used': round(seen.used),
         'limit': round(seen.limit),
-        'heard': round(seen.heard, 3),
-        'known_ms_ago': _millis(seen.known_s_ago),
+        'heard': round(seen.heard_fraction, 3),
+        'known_ms_ago': _millis(seen.data_age_s),
     }
 
 
--- a/packages/edge/src/tallyhall_edge/runner.py
+++ b/packages/edge/src/tallyhall_edge/runner.py
@@ -12,10 +12,10 @@
 
 from tallyhall_core.content import content_digest
 from tallyhall_core.refusals import Executed, Reason, Refusal, RefusedError
-from tallyhall_dispatch.callers import FirstTries
-from tallyhall_dispatch.gate import Admitted, Gate, OverQuotaError
-from tallyhall_dispatch.jobs import Ending, Grant, Job
-from tallyhall_dispatch.patience import longest_wait_s
+from tallyhall_dispatch.first_attempts import FirstAttempts
+from tallyhall_dispatch.gate import AdmissionGate, Admitted, OverQuotaError
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, SlotGrant
+from tallyhall_dispatch.queue_timeout import max_queue_time_s
 
 from .connections import ConnectionPool
 from .dialect import HeaderCodec, InvalidHeaderError, RequestInfo
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        gate: Gate,
+        gate: AdmissionGate,
         scheduler: Scheduler,
         conns: ConnectionPool,
         codec: HeaderCodec,
@@ -73,7 +73,7 @@
         self._instance = instance
         self._zone = zone
         self._job_numbers = itertools.count()
-        self._first_tries = FirstTries()
+        self._first_tries = FirstAttempts()
         # Set once the instance is told to stop.
         self._stop: StopSchedule | None = None
         # Requests that wait for an upstream.
@@ -184,7 +184,7 @@
         admitted: Admitted,
     ) -> float:
         workspace = admitted.workspace
-        return self._first_tries.since_s(
+        return self._first_tries.elapsed_s(
             admitted.route,
             '' if workspace is None else workspace.name,
             call.deadline_s,
@@ -204,7 +204,7 @@
                 job,
                 grant.upstream,
             )
-            if ending is Ending.answered:
+            if ending is AttemptOutcome.answered:
                 self._complete(context, relay)
                 return
             context.last_event = relay.last_event
@@ -225,7 +225,7 @@
         if context.end_at > stop.ends_at:
             raise stopping_error()
 
-    async def _acquire(self, context: RequestContext, job: Job) -> Grant:
+    async def _acquire(self, context: RequestContext, job: Job) -> SlotGrant:
         """Return an upstream; refuse a waiting request before a stop ends."""
         timeout = asyncio.timeout_at(self._acquire_deadline(context))
         try:
@@ -250,7 +250,7 @@
         route = context.admitted.route
         call = context.call
         received_at = context.exchange.received_at
-        wait_s = longest_wait_s(route, context.end_at - received_at)
+        wait_s = max_queue_time_s(route, context.end_at - received_at)
         if context.sends:
             received_at = self._loop.time()
         return Job(
@@ -266,14 +266,14 @@
                 - context.since_first_s
                 + route.objective_s
             ),
-            give_up_at=min(context.end_at, received_at + wait_s),
+            reject_at=min(context.end_at, received_at + wait_s),
             excluded=frozenset(context.excluded),
-            spare=context.admitted.over_quota_s > 0,
+            over_quota=context.admitted.over_quota_s > 0,
             pause_s=route.gap_s,
-            suspect=suspect,
-            resting=self._sender.backoffs.current(self._loop.time()),
+            suspect_digest=suspect,
+            backoffs=self._sender.backoffs.current(self._loop.time()),
             route=route.name,
-            once=not route.repeatable,
+            non_idempotent=not route.repeatable,
         )
 
     # -- outcomes
@@ -284,19 +284,19 @@
             relay.deliver()
 
     def _fail(
-        self, context: RequestContext, ending: Ending, relay: Relay
+        self, context: RequestContext, ending: AttemptOutcome, relay: Relay
     ) -> None:
         if context.exchange.started:
             context.outcome = 'broken'
             context.exchange.abort()
             return
-        if ending is Ending.failed:
+        if ending is AttemptOutcome.failed:
             context.outcome = 'upstream_error'
             relay.deliver()
             return
         if context.may_have_run:
             refusal = Refusal.of(Reason.upstream_broken)
-        elif ending is Ending.rejected:
+        elif ending is AttemptOutcome.rejected:
             refusal = Refusal.of(
                 Reason.upstream_full,
                 retry_after=self._rejected_retry_s(context.admitted.service),
@@ -319,7 +319,7 @@
         # After a stall of the process, the timeout may expire in the same
         # iteration of the event loop that read the complete answer; the answer
         # counts.
-        if relay is not None and relay.ending is Ending.answered:
+        if relay is not None and relay.ending is AttemptOutcome.answered:
             self._complete(context, relay)
             return
         if context.exchange.started:
@@ -373,7 +373,7 @@
         if not context.may_have_run:
             # This includes requests whose caller disconnected or whose time
             # ran out before they were sent.
-            self._gate.give_back(context.admitted, now)
+            self._gate.refund(context.admitted, now)
         self._log.ended(context, now)
 
 
--- a/packages/edge/src/tallyhall_edge/scheduling.py
+++ b/packages/edge/src/tallyhall_edge/scheduling.py
@@ -14,12 +14,12 @@
 from typing import TYPE_CHECKING, Protocol
 
 from tallyhall_core.refusals import Reason, Refusal, RefusedError
+from tallyhall_dispatch.announced_limits import AnnouncedLimits
 from tallyhall_dispatch.desired import DesiredState, Upstream
-from tallyhall_dispatch.jobs import Ending, Grant, Job, RunReport
-from tallyhall_dispatch.leavers import Leavers
-from tallyhall_dispatch.named_limits import NamedLimits
-from tallyhall_dispatch.pool import Granted, ServicePool
-from tallyhall_dispatch.refusing import GivenUp
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport, SlotGrant
+from tallyhall_dispatch.leaving_upstreams import LeavingUpstreams
+from tallyhall_dispatch.pool import GrantDecision, ServicePool
+from tallyhall_dispatch.rejection import RejectDecision
 from tallyhall_dispatch.versions import (
     RolloutOrder,
     RolloutStatus,
@@ -70,7 +70,7 @@
     def upstream_listener(self) -> UpstreamListener:
         """Return the listener for signals in answers."""
 
-    async def acquire(self, job: Job) -> Grant:
+    async def acquire(self, job: Job) -> SlotGrant:
         """Return an upstream for one send; raise RefusedError."""
 
     def is_usable(self, upstream: Upstream) -> bool:
@@ -95,10 +95,10 @@
 class JobListener(Protocol):
     """The requester of a job, notified of the decision."""
 
-    def on_granted(self, granted: Granted) -> None:
+    def on_granted(self, granted: GrantDecision) -> None:
         """Handle the assignment of an upstream and the forecast."""
 
-    def on_rejected(self, given_up: GivenUp) -> None:
+    def on_rejected(self, given_up: RejectDecision) -> None:
         """Handle the decision that a job cannot be answered in time."""
 
 
@@ -114,8 +114,8 @@
         self._timer: asyncio.TimerHandle | None = None
         self._upstreams: tuple[Upstream, ...] = ()
         self._by_incarnation: dict[str, Upstream] = {}
-        self.leaving_upstreams = Leavers()
-        self.announced_limits = NamedLimits()
+        self.leaving_upstreams = LeavingUpstreams()
+        self.announced_limits = AnnouncedLimits()
         # The share of the limits of each service that this instance may use.
         self._limit_shares: dict[str, float] = {}
         self._versions: dict[str, ServiceVersions] = collections.defaultdict(
@@ -142,14 +142,14 @@
         upstream is bounded over all instances together.
         """
         pool = self._pools.get(service)
-        if pool is not None and (pool.is_model or pool.upstreams.is_limited):
+        if pool is not None and (pool.is_model or pool.upstreams.has_limits):
             return True
-        return self._versions[service].running is not None
+        return self._versions[service].order_in_progress is not None
 
     def slots(self, service: str) -> tuple[int, int]:
         """Return the slots of the upstreams in use and of the canaries."""
         pool = self._pools.get(service)
-        return (0, 0) if pool is None else (pool.places, pool.canary_places)
+        return (0, 0) if pool is None else (pool.slots, pool.canary_slots)
 
     def upstream(self, incarnation: str) -> Upstream | None:
         """Return an upstream by its incarnation, None if it is unknown."""
@@ -175,11 +175,11 @@
         """Replace the set of upstreams and decide on waiting jobs."""
         self._upstreams = upstreams
         grouped: dict[str, list[Upstream]] = collections.defaultdict(list)
-        for known in map(self.leaving_upstreams.marked, upstreams):
+        for known in map(self.leaving_upstreams.mark_leaving, upstreams):
             grouped[known.service].append(known)
         now = self._loop.time()
         marked = {
-            name: self._versions[name].marked(group, now)
+            name: self._versions[name].classify(group, now)
             for name, group in grouped.items()
         }
         self._by_incarnation = {
@@ -207,7 +207,10 @@
     def check_versions(self) -> None:
         """Switch services to another version if the one in use is absent."""
         now = self._loop.time()
-        if any(versions.is_absent(now) for versions in self._versions.values()):
+        if any(
+            versions.lost_accepted_version(now)
+            for versions in self._versions.values()
+        ):
             self.apply_upstreams(self._upstreams)
 
     def set_led_rollout(self, service: str, rollout: Rollout | None) -> None:
@@ -243,40 +246,42 @@
         pool = self._pools.get(service)
         if pool is None:
             return 0
-        return pool.opens_in_s(backoffs, self._loop.time())
+        return pool.backoff_ends_in_s(backoffs, self._loop.time())
 
     def submit(self, job: Job, listener: JobListener) -> None:
         """Queue a job; the listener may be notified before this returns."""
         pool = self._pools.get(job.service)
         if pool is None:
-            listener.on_rejected(GivenUp(job.key, _UNKNOWN_SERVICE_RETRY_S))
+            listener.on_rejected(
+                RejectDecision(job.key, _UNKNOWN_SERVICE_RETRY_S)
+            )
             return
         self._listeners[job.key] = listener
-        pool.ask(job)
+        pool.enqueue(job)
         self._apply_decisions(pool)
 
     def cancel(self, key: str) -> None:
         """Remove a waiting job."""
         self._listeners.pop(key, None)
         for pool in self._pools.values():
-            pool.withdraw(key)
+            pool.dequeue(key)
 
     def add_running(self, job: Job, incarnation: str) -> None:
         """Record a running job that another instance granted."""
         pool = self._pools.get(job.service)
         if pool is not None:
-            pool.note_running(job, incarnation)
+            pool.add_running(job, incarnation)
 
     def record_first_byte(self, key: str, service: str) -> None:
         """Record that the answer of a job has begun."""
         pool = self._pools.get(service)
         if pool is not None:
-            pool.first_byte(key)
+            pool.record_first_byte(key)
 
     def record_first_byte_of(self, key: str) -> None:
         """Record that the answer of a job of unknown service has begun."""
         for pool in self._pools.values():
-            pool.first_byte(key)
+            pool.record_first_byte(key)
 
     def is_waiting(self, key: str) -> bool:
         """Return whether a job waits on this instance."""
@@ -299,8 +304,8 @@
         if pool is None:
             return
         pool.finish(key, report, self._loop.time())
-        if report.ending is Ending.misplaced:
-            pool.misplaced(incarnation)
+        if report.ending is AttemptOutcome.misplaced:
+            pool.ignore_upstream(incarnation)
         self._apply_decisions(pool)
 
     def apply_limits(self) -> None:
@@ -326,14 +331,14 @@
         return tuple(
             name
             for name, pool in self._pools.items()
-            if pool.upstreams.is_limited
+            if pool.upstreams.has_limits
         )
 
     def apply_slot_share(self, share: float) -> None:
         """Use at most this share of the slots of model engines."""
         for pool in self._pools.values():
             if pool.is_model:
-                pool.take_share(share)
+                pool.apply_share(share)
 
     def may_use_slot(self, service: str, filled: int, instances: int) -> bool:
         """Return whether this instance may fill one more slot.
@@ -351,7 +356,7 @@
         if now >= until:
             drawn = self._rng.random()
             self._draws[service] = (now + _DRAW_VALID_S, drawn)
-        return filled + drawn < max(_MIN_CHANCE, pool.places / instances)
+        return filled + drawn < max(_MIN_CHANCE, pool.slots / instances)
 
     def drop_jobs(self, prefix: str) -> None:
         """Remove all jobs whose key has this prefix."""
@@ -359,7 +364,7 @@
             if key.startswith(prefix):
                 self._listeners.pop(key)
         for pool in self._pools.values():
-            pool.drop_jobs(prefix)
+            pool.remove_jobs(prefix)
             self._apply_decisions(pool)
 
     def _apply_limits(self, pool: ServicePool) -> None:
@@ -373,9 +378,9 @@
             listener = self._listeners.pop(decision.key, None)
             if listener is None:
                 continue
-            if isinstance(decision, Granted):
+            if isinstance(decision, GrantDecision):
                 listener.on_granted(decision)
-            elif isinstance(decision, GivenUp):
+            elif isinstance(decision, RejectDecision):
                 listener.on_rejected(decision)
         if pool.waiting and self._timer is None:
             self._timer = self._loop.call_later(_POLL_S, self._poll)
@@ -390,11 +395,11 @@
 class JobRejectedError(RefusedError):
     """The refusal of a job that cannot be answered in time."""
 
-    def __init__(self, given_up: GivenUp) -> None:
+    def __init__(self, given_up: RejectDecision) -> None:
         """Store when to retry and the forecast behind the decision."""
         refusal = Refusal.of(
             Reason.deadline_unreachable,
             retry_after=given_up.retry_after_s,
         )
         super().__init__(refusal)
-        self.forecast = given_up.outlook
+        self.forecast = given_up.forecast
--- a/packages/edge/src/tallyhall_edge/sending.py
+++ b/packages/edge/src/tallyhall_edge/sending.py
@@ -11,10 +11,10 @@
 import functools
 
 from tallyhall_core.refusals import Reason, Refusal, RefusedError
+from tallyhall_dispatch.backoffs import Backoffs
 from tallyhall_dispatch.desired import RouteKind, Upstream
-from tallyhall_dispatch.gate import Gate
-from tallyhall_dispatch.jobs import NOT_SENT, Ending, Job, RunReport
-from tallyhall_dispatch.rests import Rests
+from tallyhall_dispatch.gate import AdmissionGate
+from tallyhall_dispatch.jobs import NOT_SENT, AttemptOutcome, Job, RunReport
 
 from .client import ClientConnection
 from .connections import ConnectionPool
@@ -44,7 +44,12 @@
 _OVERLOAD_WAIT_S = 0.03
 
 _SAFE_TO_RESEND = frozenset(
-    (Ending.rejected, Ending.misplaced, Ending.unsent, Ending.withheld),
+    (
+        AttemptOutcome.rejected,
+        AttemptOutcome.misplaced,
+        AttemptOutcome.unsent,
+        AttemptOutcome.withheld,
+    ),
 )
 
 
@@ -53,7 +58,7 @@
 
     def __init__(
         self,
-        gate: Gate,
+        gate: AdmissionGate,
         scheduler: Scheduler,
         conns: ConnectionPool,
         codec: HeaderCodec,
@@ -68,7 +73,7 @@
         self._codec = codec
         self._log = log
         # Backoffs that upstreams requested from this instance.
-        self.backoffs = Rests()
+        self.backoffs = Backoffs()
         self._loop = asyncio.get_running_loop()
 
     async def send(
@@ -76,17 +81,17 @@
         context: RequestContext,
         job: Job,
         upstream: Upstream,
-    ) -> tuple[Ending, Relay]:
+    ) -> tuple[AttemptOutcome, Relay]:
         """Send a request once; return how that ended and the answer."""
         relay = self._make_relay(context, job, upstream)
         context.relay = relay
-        ending = Ending.left
+        ending = AttemptOutcome.left
         try:
             ending = await self._send_once(context, upstream, relay)
         except BackoffError:
-            ending = Ending.withheld
+            ending = AttemptOutcome.withheld
         except NotSentError:
-            ending = Ending.unsent
+            ending = AttemptOutcome.unsent
         finally:
             # Read before this instance writes an answer of its own.
             context.begun = context.exchange.started
@@ -96,7 +101,9 @@
             self._record_end(context, upstream, report)
         return report.ending, relay
 
-    def may_retry(self, context: RequestContext, ending: Ending) -> bool:
+    def may_retry(
+        self, context: RequestContext, ending: AttemptOutcome
+    ) -> bool:
         """Return whether a request may be retried; spend its retry budget."""
         if context.sends >= _MAX_SENDS:
             return False
@@ -153,7 +160,7 @@
             self._conns.close_idle(upstream.incarnation)
         if info.backoff_s:
             now = self._loop.time()
-            self.backoffs.ask(upstream.incarnation, info.backoff_s, now)
+            self.backoffs.add(upstream.incarnation, info.backoff_s, now)
         for name in info.unknown_headers:
             self._log.header_unread(upstream, name)
 
@@ -216,7 +223,7 @@
         context: RequestContext,
         upstream: Upstream,
         relay: Relay,
-    ) -> Ending:
+    ) -> AttemptOutcome:
         repeatable = context.admitted.route.repeatable
         max_idle_s = (
             _MAX_IDLE_REPEATABLE_S if repeatable else _MAX_IDLE_NON_REPEATABLE_S
@@ -251,9 +258,9 @@
         if not self._scheduler.is_usable(upstream):
             conn.close()
             raise NotSentError('the upstream takes no new requests')
-        if self.backoffs.rests(upstream.incarnation, now):
+        if self.backoffs.is_backing_off(upstream.incarnation, now):
             raise BackoffError('the upstream asked for a backoff')
-        if not self._gate.still_holds(context.admitted, now):
+        if not self._gate.is_still_valid(context.admitted, now):
             refusal = Refusal.of(Reason.state_not_confirmed, retry_after=1)
             raise RefusedError(refusal)
         relay.bind(conn)
@@ -266,7 +273,7 @@
 
     async def _await_answer(
         self, context: RequestContext, relay: Relay
-    ) -> Ending:
+    ) -> AttemptOutcome:
         """Wait for the end of an answer, or until it is overdue to begin.
 
         An upstream may hang, or lose the answer of a request that it ran. A
@@ -286,7 +293,7 @@
             silent = not relay.begun.is_set()
             if silent and self._spend_retry_budget(context):
                 context.retry_charged = True
-                return Ending.unknown
+                return AttemptOutcome.unknown
         return await relay.done
 
     def _may_abandon_silent(self, context: RequestContext) -> bool:
@@ -333,7 +340,7 @@
             context.retry_charged = False
             return True
         service = context.admitted.service
-        allowed = self._gate.may_repeat(service, self._loop.time())
+        allowed = self._gate.charge_retry(service, self._loop.time())
         if not allowed:
             self._log.budget_binds(context)
         return allowed
--- a/packages/emulator/src/tallyhall_emulator/callers.py
+++ b/packages/emulator/src/tallyhall_emulator/callers.py
@@ -8,12 +8,12 @@
 
 import msgspec
 import simpy
-from tallyhall_dispatch.callers import FirstTries
 from tallyhall_dispatch.desired import Route, RouteKind, Upstream
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
-from tallyhall_dispatch.patience import longest_wait_s
-from tallyhall_dispatch.pool import Granted
-from tallyhall_dispatch.refusing import GivenUp
+from tallyhall_dispatch.first_attempts import FirstAttempts
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
+from tallyhall_dispatch.pool import GrantDecision
+from tallyhall_dispatch.queue_timeout import max_queue_time_s
+from tallyhall_dispatch.rejection import RejectDecision
 from tallyhall_dispatch.retries import RetryBudget, RetryLimits
 from tallyhall_dispatch.switches import Switches
 
@@ -27,7 +27,7 @@
 _RETRY_RATIO = 0.2
 _RETRY_ALLOWANCE = 50
 _RETRY_WINDOW_S = 10
-_AGAIN = frozenset((Ending.unsent, Ending.rejected))
+_AGAIN = frozenset((AttemptOutcome.unsent, AttemptOutcome.rejected))
 
 
 @enum.unique
@@ -68,7 +68,7 @@
         self._seed = seed
         self._switches = switches
         self._routes = {kind.name: _route(kind) for kind in scenario.kinds}
-        self._first_tries = FirstTries()
+        self._first_tries = FirstAttempts()
         self._budget = RetryBudget(
             RetryLimits(_RETRY_RATIO, _RETRY_ALLOWANCE, _RETRY_WINDOW_S),
         )
@@ -94,7 +94,7 @@
     # -- one try
 
     def _try(self, visit: _Visit) -> Waiting[Outcome]:
-        self._budget.request(self._env.now)
+        self._budget.record_request(self._env.now)
         group = self._service.group_of(
             visit.rng.randrange(self._scenario.instances),
         )
@@ -102,13 +102,15 @@
         job = self._job(visit)
         while True:
             asked_at = self._env.now
-            decision: Granted | GivenUp = yield self._service.ask(job, group)
+            decision: GrantDecision | RejectDecision = yield self._service.ask(
+                job, group
+            )
             visit.waited_s += self._env.now - asked_at
-            if isinstance(decision, GivenUp):
+            if isinstance(decision, RejectDecision):
                 visit.retry_after_s = decision.retry_after_s
                 return Outcome.refused
             ending = yield from self._send(visit, job, decision.upstream)
-            if ending is Ending.answered:
+            if ending is AttemptOutcome.answered:
                 return self._judged(visit)
             if not self._may_send_again(visit, ending):
                 return Outcome.failed
@@ -122,12 +124,12 @@
         visit: _Visit,
         job: Job,
         upstream: Upstream,
-    ) -> Waiting[Ending]:
+    ) -> Waiting[AttemptOutcome]:
         arrival = visit.arrival
         run = self._service.send(job, upstream, arrival)
         if run is None:
-            self._service.finish(job, RunReport(Ending.unsent, 0))
-            return Ending.unsent
+            self._service.finish(job, RunReport(AttemptOutcome.unsent, 0))
+            return AttemptOutcome.unsent
         fault = self._fault(visit, upstream)
         yield run.begun | run.ended
         if fault is None:
@@ -136,7 +138,7 @@
             yield from self._break(visit, run, upstream, fault)
         report: RunReport = yield run.ended
         self._service.finish(job, report)
-        if report.ending is Ending.answered:
+        if report.ending is AttemptOutcome.answered:
             visit.begun_at = run.started_at + (report.first_s or 0)
             visit.pause_s = report.pause_s
         return report.ending
@@ -150,11 +152,11 @@
     ) -> Waiting[None]:
         """Fail a run at its first event, or lose its answer for good."""
         if fault.kind == 'fail':
-            self._service.cut(upstream, run, Ending.failed)
+            self._service.cut(upstream, run, AttemptOutcome.failed)
             return
         left_s = visit.end_at - self._env.now
         yield run.ended | self._env.timeout(max(0, left_s))
-        self._service.cut(upstream, run, Ending.unknown)
+        self._service.cut(upstream, run, AttemptOutcome.unknown)
 
     def _fault(self, visit: _Visit, upstream: Upstream) -> Fault | None:
         number = engine_number(upstream)
@@ -167,7 +169,7 @@
                 return fault
         return None
 
-    def _may_send_again(self, visit: _Visit, ending: Ending) -> bool:
+    def _may_send_again(self, visit: _Visit, ending: AttemptOutcome) -> bool:
         visit.sends += 1
         if self._env.now >= visit.end_at:
             return False
@@ -175,7 +177,7 @@
             return True
         if visit.sends >= visit.arrival.kind.attempts:
             return False
-        return self._budget.take(self._env.now, self._scenario.instances)
+        return self._budget.try_retry(self._env.now, self._scenario.instances)
 
     def _judged(self, visit: _Visit) -> Outcome:
         kind = visit.arrival.kind
@@ -191,7 +193,7 @@
         left_s = visit.end_at - now
         since_s: float = 0
         if self._switches.first_tries:
-            since_s = self._first_tries.since_s(route, '', left_s, now)
+            since_s = self._first_tries.elapsed_s(route, '', left_s, now)
         events_stated = arrival.events * kind.stated
         tokens = round(events_stated * self._scenario.engines.event_tokens)
         return Job(
@@ -203,7 +205,7 @@
             output_tokens=tokens,
             asked_at=now,
             due_at=now - since_s + kind.objective_s,
-            give_up_at=now + longest_wait_s(route, left_s),
+            reject_at=now + max_queue_time_s(route, left_s),
             pause_s=kind.pause_s,
         )
 
--- a/packages/emulator/src/tallyhall_emulator/engine.py
+++ b/packages/emulator/src/tallyhall_emulator/engine.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import simpy
-from tallyhall_dispatch.jobs import Ending, RunReport
+from tallyhall_dispatch.jobs import AttemptOutcome, RunReport
 
 from .arrivals import Arrival
 from .clock import Waiting
@@ -73,7 +73,7 @@
             self._woken.succeed()
         return run
 
-    def cut(self, run: Run, ending: Ending) -> None:
+    def cut(self, run: Run, ending: AttemptOutcome) -> None:
         """End a run before its answer is complete."""
         if run in self._runs:
             self._runs.remove(run)
@@ -86,7 +86,10 @@
         """Lose all runs; nothing listens from now on."""
         self._dead = True
         for run in (*self._runs, *self._queue):
-            self._end(run, Ending.broken if run.events else Ending.unknown)
+            self._end(
+                run,
+                AttemptOutcome.broken if run.events else AttemptOutcome.unknown,
+            )
         self._runs.clear()
         self._queue.clear()
 
@@ -160,9 +163,9 @@
         if run.left <= 0:
             self._runs.remove(run)
             self._held_tokens -= _held(run)
-            self._end(run, Ending.answered)
+            self._end(run, AttemptOutcome.answered)
 
-    def _end(self, run: Run, ending: Ending) -> None:
+    def _end(self, run: Run, ending: AttemptOutcome) -> None:
         if run.ended.triggered:
             return
         stream_s: float = 0
--- a/packages/emulator/src/tallyhall_emulator/experiment.py
+++ b/packages/emulator/src/tallyhall_emulator/experiment.py
@@ -8,7 +8,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 import msgspec
-from tallyhall_dispatch.switches import ALL_ON, Switches
+from tallyhall_dispatch.switches import ALL_ENABLED, Switches
 
 from .arrivals import arrivals
 from .bound import Bound, bound
@@ -44,7 +44,7 @@
     """Return all on but this; raise KeyError for one that is unknown."""
     if mechanism not in MECHANISMS:
         raise KeyError(mechanism)
-    return msgspec.structs.replace(ALL_ON, **{mechanism: False})
+    return msgspec.structs.replace(ALL_ENABLED, **{mechanism: False})
 
 
 def run_experiment(
@@ -89,7 +89,7 @@
 
 
 def _figures(scenario: Scenario, without: str, seed: int) -> Figures:
-    switches = switched_off(without) if without else ALL_ON
+    switches = switched_off(without) if without else ALL_ENABLED
     return figures(scenario, play(scenario, seed, switches))
 
 
--- a/packages/emulator/src/tallyhall_emulator/play.py
+++ b/packages/emulator/src/tallyhall_emulator/play.py
@@ -5,7 +5,7 @@
 import random
 
 import simpy
-from tallyhall_dispatch.switches import ALL_ON, Switches
+from tallyhall_dispatch.switches import ALL_ENABLED, Switches
 
 from .arrivals import arrivals
 from .callers import Callers, Served
@@ -17,7 +17,7 @@
 def play(
     scenario: Scenario,
     seed: int,
-    switches: Switches = ALL_ON,
+    switches: Switches = ALL_ENABLED,
 ) -> list[Served]:
     """Return what became of all requests that are counted.
 
--- a/packages/emulator/src/tallyhall_emulator/service.py
+++ b/packages/emulator/src/tallyhall_emulator/service.py
@@ -81,7 +81,7 @@
         joined = count < len(self._pools)
         self._pools = kept
         for pool in self._pools:
-            pool.take_share(1 / count)
+            pool.apply_share(1 / count)
         if joined:
             self._join(count)
 
@@ -91,7 +91,7 @@
         # A group may have been joined while the request was on its way.
         group = min(group, len(self._pools) - 1)
         self._asked[job.key] = _Asked(job, group, decided)
-        self._pools[group].ask(job)
+        self._pools[group].enqueue(job)
         self._pump(group)
         return decided
 
@@ -114,7 +114,7 @@
     def first_byte(self, job: Job) -> None:
         """Take that the answer of a job has begun."""
         for pool in self._pools:
-            pool.first_byte(job.key)
+            pool.record_first_byte(job.key)
 
     def finish(self, job: Job, report: RunReport) -> None:
         """Take that a send has ended."""
@@ -141,12 +141,12 @@
     def _join(self, count: int) -> None:
         """Tell the first pool what the ones that end had granted and queued."""
         for job, incarnation in self._running.values():
-            self._pools[0].note_running(job, incarnation)
+            self._pools[0].add_running(job, incarnation)
         for key, asked in tuple(self._asked.items()):
             if asked.group < count:
                 continue
             self._asked[key] = msgspec.structs.replace(asked, group=0)
-            self._pools[0].ask(asked.job)
+            self._pools[0].enqueue(asked.job)
         self._pump(0)
 
     def _running_upstream(self, number: int) -> Upstream | None:
--- a/packages/entry/src/tallyhall_entry/cluster_state.py
+++ b/packages/entry/src/tallyhall_entry/cluster_state.py
@@ -6,9 +6,9 @@
 
 from tallyhall_core.events import Event
 from tallyhall_dispatch.desired import DesiredState, Upstream
-from tallyhall_dispatch.fleet import FleetCount, Membership
-from tallyhall_dispatch.gate import Gate
-from tallyhall_dispatch.quota import Written
+from tallyhall_dispatch.fleet import FleetCount, FleetMembership
+from tallyhall_dispatch.gate import AdmissionGate
+from tallyhall_dispatch.quota import StoredUse
 from tallyhall_edge.caller_connection import ServerLimits
 from tallyhall_edge.connections import ConnectionPool
 from tallyhall_edge.scheduling import Dispatcher
@@ -26,8 +26,8 @@
 
     def __init__(
         self,
-        membership: Membership,
-        gate: Gate,
+        membership: FleetMembership,
+        gate: AdmissionGate,
         dispatcher: Dispatcher,
         conns: ConnectionPool,
         peer_streams: PeerStreams,
@@ -53,7 +53,7 @@
 
     def on_state(self, state: DesiredState) -> None:
         """Apply a newer desired state."""
-        self._gate.take_state(state)
+        self._gate.apply_state(state)
         self._dispatcher.apply_state(state)
         limits = state.limits
         self._front.limits = ServerLimits(
@@ -81,7 +81,7 @@
         """Apply the complete list of registered instances."""
         self.entries = entries
         self._known |= {entry.instance: entry for entry in entries}
-        self._membership.take_entries(
+        self._membership.update_entries(
             {entry.instance: entry.leaving for entry in entries},
             self._loop.time(),
         )
@@ -105,14 +105,14 @@
             self.count = counted
             self._update_peers()
 
-    def on_stored_use(self, use: Written) -> None:
+    def on_stored_use(self, use: StoredUse) -> None:
         """Apply the fleet's quota usage that was stored before this run."""
-        self._gate.quotas.recall(use, self._loop.time())
+        self._gate.quotas.restore(use, self._loop.time())
 
     def on_state_confirmed(self, asked_at: float) -> None:
         """Record that the desired state was current at this time."""
         self.complete_as_of = asked_at
-        self._gate.freshness.confirm(asked_at)
+        self._gate.freshness.record_confirmation(asked_at)
 
     def on_store_reachable(self, *, reachable: bool) -> None:
         """Record that the store became unreachable or reachable again."""
--- a/packages/entry/src/tallyhall_entry/endpoints.py
+++ b/packages/entry/src/tallyhall_entry/endpoints.py
@@ -4,7 +4,7 @@
 
 import random
 
-from tallyhall_dispatch.gate import Gate
+from tallyhall_dispatch.gate import AdmissionGate
 from tallyhall_edge.exchange import Exchange
 from tallyhall_platform.locate import encode_locate_answer
 
@@ -26,7 +26,7 @@
     def __init__(
         self,
         front: str,
-        gate: Gate,
+        gate: AdmissionGate,
         cluster_state: ClusterState,
         metrics: Metrics,
         rng: random.Random,
--- a/packages/entry/src/tallyhall_entry/from_options.py
+++ b/packages/entry/src/tallyhall_entry/from_options.py
@@ -5,7 +5,7 @@
 import random
 
 from tallyhall_dispatch.freshness import Freshness
-from tallyhall_dispatch.gate import Gate
+from tallyhall_dispatch.gate import AdmissionGate
 from tallyhall_dispatch.options import Options
 from tallyhall_dispatch.quota_limits import QuotaBounds
 from tallyhall_dispatch.retries import RetryLimits
@@ -47,10 +47,10 @@
     return freshness_s(options) or options.bounds.quota_window_s
 
 
-def new_gate(options: Options, rng: random.Random, now: float) -> Gate:
+def new_gate(options: Options, rng: random.Random, now: float) -> AdmissionGate:
     """Return a gate that has no desired state yet."""
     bounds = options.bounds
-    return Gate(
+    return AdmissionGate(
         Freshness(freshness_s(options)),
         RetryLimits(
             bounds.retry_ratio,
--- a/packages/entry/src/tallyhall_entry/instance.py
+++ b/packages/entry/src/tallyhall_entry/instance.py
@@ -15,9 +15,9 @@
 import msgspec
 from tallyhall_core.events import Event
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.fleet import Membership
+from tallyhall_dispatch.fleet import FleetMembership
 from tallyhall_dispatch.options import Options
-from tallyhall_dispatch.quota_limits import Fleet
+from tallyhall_dispatch.quota_limits import FleetView
 from tallyhall_edge.caller_connection import ServerLimits
 from tallyhall_edge.connections import ConnectionPool
 from tallyhall_edge.runner import RequestPipeline
@@ -139,7 +139,7 @@
             ServerLimits(),
             int(options.descriptors * _CLIENT_DESCRIPTOR_SHARE),
         )
-        self._membership = Membership(
+        self._membership = FleetMembership(
             options.instance,
             admits_s(options),
             MIN_UNREACHABLE_S,
@@ -468,15 +468,15 @@
         heard = self._peer_streams.heard_count
         instances = max(len(self._cluster_state.count.members), heard)
         self._gate.instances = instances
-        self._gate.quotas.take_fleet(
-            Fleet(
+        self._gate.quotas.apply_fleet(
+            FleetView(
                 instances,
                 heard / instances,
-                self._scheduler.known.known_at,
-                self._scheduler.known.counted_at,
+                self._scheduler.known.acknowledged_at,
+                self._scheduler.known.propagated_at,
             ),
         )
-        holders = max(len(self._cluster_state.count.holders), heard)
+        holders = max(len(self._cluster_state.count.slot_holders), heard)
         self._scheduler.take_share(heard / holders)
 
     async def _run_maintenance(self) -> None:
--- a/packages/entry/src/tallyhall_entry/job_messages.py
+++ b/packages/entry/src/tallyhall_entry/job_messages.py
@@ -6,8 +6,8 @@
 
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.jobs import Job, RunReport
-from tallyhall_dispatch.pool import Granted
-from tallyhall_dispatch.refusing import GivenUp
+from tallyhall_dispatch.pool import GrantDecision
+from tallyhall_dispatch.rejection import RejectDecision
 from tallyhall_transport.peer_codec import (
     encode_done,
     encode_give_up,
@@ -26,7 +26,7 @@
         self._peer_streams = peer_streams
         self._peer = peer
 
-    def on_granted(self, granted: Granted) -> None:
+    def on_granted(self, granted: GrantDecision) -> None:
         """Tell the peer that a job may be sent to an upstream."""
         batch = self._peer_streams.next_batch(self._peer, urgent=True)
         if batch is not None:
@@ -36,7 +36,7 @@
                 forecast_ms=int(granted.forecast_s * _MILLI),
             )
 
-    def on_rejected(self, given_up: GivenUp) -> None:
+    def on_rejected(self, given_up: RejectDecision) -> None:
         """Tell the peer that a job cannot meet its deadline."""
         batch = self._peer_streams.next_batch(self._peer, urgent=True)
         if batch is not None:
--- a/packages/entry/src/tallyhall_entry/knowledge.py
+++ b/packages/entry/src/tallyhall_entry/knowledge.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import msgspec
-from tallyhall_dispatch.topology import is_mesh
+from tallyhall_dispatch.topology import is_full_mesh
 from tallyhall_transport.peer_streams import PeerStreams
 
 # Heartbeat intervals without a batch after which a peer may be partitioned.
@@ -14,13 +14,13 @@
 class PeerKnowledge(msgspec.Struct, frozen=True):
     """Times up to which peers know what this instance has admitted.
 
-    known_at: known to all live peers; None without any. counted_at: known to
-    the fleet, or to a hub that forwards it; None while any peer may be
+    acknowledged_at: known to all live peers; None without any. propagated_at:
+    known to the fleet, or to a hub that forwards it; None while any peer may be
     partitioned.
     """
 
-    known_at: float | None = None
-    counted_at: float | None = None
+    acknowledged_at: float | None = None
+    propagated_at: float | None = None
 
 
 def peer_knowledge(
@@ -44,7 +44,7 @@
     silent_s = now - min(peer.last_heard_at for peer in live)
     if silent_s > _SUSPECT_HEARTBEATS * peer_streams.heartbeat_s:
         return PeerKnowledge(known_at)
-    if is_mesh(peer_streams.instances):
+    if is_full_mesh(peer_streams.instances):
         return PeerKnowledge(known_at, known_at)
     if name in hubs:
         return PeerKnowledge(known_at, now)
--- a/packages/entry/src/tallyhall_entry/peer_reports.py
+++ b/packages/entry/src/tallyhall_entry/peer_reports.py
@@ -7,10 +7,10 @@
 from typing import TYPE_CHECKING, Any
 
 from tallyhall_core.events import Event
-from tallyhall_dispatch.adoption import Hearing
-from tallyhall_dispatch.gate import Gate
-from tallyhall_dispatch.quota_use import FleetUse, Parts, UseReport
-from tallyhall_dispatch.topology import is_mesh
+from tallyhall_dispatch.adoption import AdoptionReadiness
+from tallyhall_dispatch.gate import AdmissionGate
+from tallyhall_dispatch.quota_use import AgedAmounts, FleetUse, UseReport
+from tallyhall_dispatch.topology import is_full_mesh
 from tallyhall_transport.peer import Peer
 from tallyhall_transport.peer_streams import PeerStreams
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        gate: Gate,
+        gate: AdmissionGate,
         peer_streams: PeerStreams,
         take_raw_state: Callable[[bytes], None],
         log: EventLog,
@@ -44,7 +44,7 @@
         self._log = log
         self._loop = asyncio.get_running_loop()
         self._last_totals: dict[tuple[str, str, str], float] = {}
-        self._hearing = Hearing()
+        self._hearing = AdoptionReadiness()
         self._last_returned: dict[tuple[str, str, str], float] = {}
         self._fetch_task: asyncio.Task[None] | None = None
 
@@ -58,7 +58,7 @@
         self._adopt_use(batch, now)
         for spent in batch.spent:
             self._handle_spent(batch, spent, now)
-        self._hearing.heard(batch.sender, batch.incarnation, now)
+        self._hearing.record_contact(batch.sender, batch.incarnation, now)
         self._handle_confirmation(batch, now)
         newer = batch.state_version > self._gate.version
         if newer and self._fetch_task is None:
@@ -82,7 +82,7 @@
         batch.leaving = self.leaving
         # Members that this instance does not hear from may have admitted much.
         hears_all = self._peer_streams.heard_count >= self._gate.instances
-        batch.knows_use = hears_all and self._gate.quotas.knows_past(now)
+        batch.knows_use = hears_all and self._gate.quotas.knows_full_window(now)
         for name, use in self._gate.quotas.report(now).items():
             if self._must_report(peer, name, use):
                 self._fill_spent(batch.spent.add(), peer, name, use)
@@ -98,7 +98,7 @@
             return True
         if not peer.knows_fleet_use:
             return True
-        if is_mesh(self._peer_streams.instances):
+        if is_full_mesh(self._peer_streams.instances):
             return False
         return use.is_high or name in peer.reported_high
 
@@ -127,7 +127,9 @@
             _fill_parts(spent.fleet_parts, quotas.fleet_parts(name, now))
         reported = peer.reported_returns.get(name, 0)
         if use.returned > reported:
-            _fill_parts(spent.returns, quotas.returns(name, reported, now))
+            _fill_parts(
+                spent.returns, quotas.refunds_after(name, reported, now)
+            )
         peer.reported_totals[name] = use.total + use.returned
         peer.reported_returns[name] = use.returned
         if use.is_high:
@@ -153,7 +155,7 @@
             amount = min(spent.total - seen, within)
             self._count_amount(batch.sender, spent.workspace, (0, amount), now)
         self._handle_returns(run_key, spent, now)
-        if not is_mesh(self._peer_streams.instances):
+        if not is_full_mesh(self._peer_streams.instances):
             fleet = FleetUse(
                 batch.sender,
                 spent.fleet,
@@ -162,7 +164,7 @@
                 spent.rate,
                 spent.leaves,
             )
-            self._gate.quotas.heard(spent.workspace, fleet)
+            self._gate.quotas.record_fleet_use(spent.workspace, fleet)
 
     def _count_first_report(
         self,
@@ -184,9 +186,9 @@
     ) -> None:
         age_s, amount = part
         quotas = self._gate.quotas
-        quotas.reported(workspace, amount, now, age_s)
-        if not quotas.knows_past(now):
-            self._hearing.reported(workspace, sender, amount, now)
+        quotas.record_admitted(workspace, amount, now, age_s)
+        if not quotas.knows_full_window(now):
+            self._hearing.record_report(workspace, sender, amount, now)
 
     def _handle_returns(
         self,
@@ -207,11 +209,11 @@
             # These may include returns from an earlier report.
             part = min(left, amount)
             if part > 0:
-                quotas.returned(spent.workspace, part, now - age_s, now)
+                quotas.record_refund(spent.workspace, part, now - age_s, now)
                 left -= part
         if left > 0:
             oldest_at = now - spent.oldest_return_s
-            quotas.returned(spent.workspace, left, oldest_at, now)
+            quotas.record_refund(spent.workspace, left, oldest_at, now)
 
     def _handle_confirmation(self, batch: peers_pb2.Batch, now: float) -> None:
         # The sender had read our question before it stated the age of its
@@ -221,13 +223,13 @@
         asked_at = batch.echo_us / _MICRO
         if batch.confirmed_ms_ago < 0 or not 0 < asked_at <= now:
             return
-        self._gate.freshness.confirm(
+        self._gate.freshness.record_confirmation(
             asked_at - batch.confirmed_ms_ago / _MILLI,
         )
 
     def _adopt_use(self, batch: peers_pb2.Batch, now: float) -> None:
         quotas = self._gate.quotas
-        if not batch.knows_use or quotas.knows_past(now):
+        if not batch.knows_use or quotas.knows_full_window(now):
             return
         of = self._peer_streams.instances
         if not self._knows_fleet_usage(batch, now):
@@ -258,7 +260,7 @@
         sender: str,
         spent: peers_pb2.Spent,
         now: float,
-    ) -> Parts:
+    ) -> AgedAmounts:
         """Return the usage of all other instances according to a sender.
 
         The sender's sum includes this instance's usage less its returns. If the
@@ -266,14 +268,17 @@
         This instance's usage is assumed to be the most recent part.
         """
         name = spent.workspace
-        own = spent.counted - self._gate.quotas.own_returned(name)
+        own = spent.counted - self._gate.quotas.own_refunded(name)
         parts = _decode_parts(spent.fleet_parts) or ((0, spent.fleet),)
         others = _subtract_newest(parts, max(0, own))
-        if not is_mesh(self._peer_streams.instances):
+        if not is_full_mesh(self._peer_streams.instances):
             return others
         # In a mesh all others have reported to this instance. The sender may
         # not know their most recent reports yet.
-        return (*others, (0, self._hearing.just_told(name, sender, now)))
+        return (
+            *others,
+            (0, self._hearing.recently_reported(name, sender, now)),
+        )
 
     def _knows_fleet_usage(self, batch: peers_pb2.Batch, now: float) -> bool:
         """Return whether the sender knows the usage of all fleet members.
@@ -284,10 +289,10 @@
         registered = self._peer_streams.registered
         if batch.sender not in registered or batch.hears < len(registered):
             return False
-        if not is_mesh(len(registered)):
+        if not is_full_mesh(len(registered)):
             return True
         others = len(registered) - 1
-        return self._hearing.heard_long(registered, now) == others
+        return self._hearing.count_settled(registered, now) == others
 
     async def _fetch_state(self, peer: str) -> None:
         await asyncio.sleep(_FETCH_DELAY_S)
@@ -305,16 +310,16 @@
     return batch.sender, batch.incarnation, spent.workspace
 
 
-def _fill_parts(message: Any, parts: Parts) -> None:
+def _fill_parts(message: Any, parts: AgedAmounts) -> None:
     for age_s, amount in parts:
         message.add(age_s=age_s, amount=amount)
 
 
-def _decode_parts(messages: Iterable[peers_pb2.Part]) -> Parts:
+def _decode_parts(messages: Iterable[peers_pb2.Part]) -> AgedAmounts:
     return tuple((part.age_s, part.amount) for part in messages)
 
 
-def _subtract_newest(parts: Parts, amount: float) -> Parts:
+def _subtract_newest(parts: AgedAmounts, amount: float) -> AgedAmounts:
     """Return parts less an amount, subtracted from the most recent ones."""
     kept = []
     for age_s, held in sorted(parts):
--- a/packages/entry/src/tallyhall_entry/peer_tracker.py
+++ b/packages/entry/src/tallyhall_entry/peer_tracker.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import msgspec
-from tallyhall_dispatch.topology import Topology, is_mesh
+from tallyhall_dispatch.topology import Topology, is_full_mesh
 from tallyhall_transport.peer import Peer
 from tallyhall_transport.peer_streams import PeerStreams
 
@@ -56,7 +56,7 @@
                 answering.add(peer.name)
             elif self._is_answer_overdue(peer, now):
                 silent.add(peer.name)
-        if is_mesh(peer_streams.instances):
+        if is_full_mesh(peer_streams.instances):
             silent |= registered - answering
         chosen = self._topology.choose(
             registered,
@@ -65,7 +65,7 @@
             peer_streams.cores,
             self._unadvertised(leaving=leaving),
         )
-        peer_streams.set_targets(chosen.linked)
+        peer_streams.set_targets(chosen.peers)
         return Seen(
             chosen.owners,
             chosen.hubs,
@@ -92,7 +92,7 @@
 
     def _count_heard(self, hubs: frozenset[str], answering: set[str]) -> int:
         """Return the number of instances heard, directly or through a hub."""
-        if is_mesh(self._peer_streams.instances):
+        if is_full_mesh(self._peer_streams.instances):
             # In a mesh no instance forwards the reports of others.
             return len(answering)
         peers = self._peer_streams.peers
--- a/packages/entry/src/tallyhall_entry/reports.py
+++ b/packages/entry/src/tallyhall_entry/reports.py
@@ -6,7 +6,7 @@
 
 from tallyhall_core.events import Event
 from tallyhall_dispatch.fleet import FleetCount
-from tallyhall_dispatch.gate import Gate
+from tallyhall_dispatch.gate import AdmissionGate
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_edge.server import HttpServer
 from tallyhall_platform.call_counts import CallCounts
@@ -67,7 +67,7 @@
 
     def update(
         self,
-        gate: Gate,
+        gate: AdmissionGate,
         front: HttpServer,
         dispatcher: Dispatcher,
     ) -> None:
--- a/packages/entry/src/tallyhall_entry/shared.py
+++ b/packages/entry/src/tallyhall_entry/shared.py
@@ -21,9 +21,9 @@
 import msgspec
 from tallyhall_core.events import Event
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.jobs import Ending, Grant, Job, RunReport
-from tallyhall_dispatch.pool import Granted
-from tallyhall_dispatch.refusing import GivenUp
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport, SlotGrant
+from tallyhall_dispatch.pool import GrantDecision
+from tallyhall_dispatch.rejection import RejectDecision
 from tallyhall_edge.scheduling import Dispatcher, JobRejectedError
 from tallyhall_transport.peer import Peer
 from tallyhall_transport.peer_codec import (
@@ -112,7 +112,7 @@
 
     # -- Scheduler
 
-    async def acquire(self, job: Job) -> Grant:
+    async def acquire(self, job: Job) -> SlotGrant:
         """Return an upstream for one send, or raise RefusedError."""
         fut: asyncio.Future[Upstream] = self._loop.create_future()
         ticket = _Ticket(job, fut)
@@ -124,7 +124,7 @@
             self._withdraw(ticket)
             raise
         waited_s = self._loop.time() - job.asked_at
-        return Grant(
+        return SlotGrant(
             upstream,
             ticket.owner or self._name,
             waited_s,
@@ -205,12 +205,12 @@
 
     # -- a `JobListener`, for jobs that this instance decides itself
 
-    def on_granted(self, granted: Granted) -> None:
+    def on_granted(self, granted: GrantDecision) -> None:
         """Complete a job's wait with an upstream and a response forecast."""
         ticket = self._tickets.get(granted.key)
         upstream = granted.upstream
         if ticket is None or ticket.fut.done():
-            report = RunReport(Ending.left, 0)
+            report = RunReport(AttemptOutcome.left, 0)
             self._dispatcher.finish(
                 granted.key,
                 upstream.service,
@@ -223,7 +223,7 @@
         ticket.forecast_s = granted.forecast_s
         ticket.fut.set_result(upstream)
 
-    def on_rejected(self, given_up: GivenUp) -> None:
+    def on_rejected(self, given_up: RejectDecision) -> None:
         """Fail a job's wait as it cannot meet its deadline."""
         ticket = self._tickets.get(given_up.key)
         if ticket is not None and not ticket.fut.done():
@@ -320,11 +320,13 @@
             return
         ticket.informed.add(peer)
         self._dispatcher.add_running(ticket.job, incarnation)
-        self.on_granted(Granted(key, upstream, grant.forecast_ms / _MILLI))
+        self.on_granted(
+            GrantDecision(key, upstream, grant.forecast_ms / _MILLI)
+        )
 
     def _refuse_grant(self, peer: str, key: str, incarnation: str) -> None:
         service = self._dispatcher.service_of(incarnation)
-        report = RunReport(Ending.left, 0)
+        report = RunReport(AttemptOutcome.left, 0)
         self._messages.done(peer, key, service, incarnation, report)
         # An earlier notice may have been lost with its stream.
         self.upstream_listener.resend_leaving(peer, incarnation)
@@ -376,7 +378,7 @@
             len(alone),
             self._peer_streams.instances,
         )
-        late = self._loop.time() >= job.give_up_at - _HELD_MARGIN_S
+        late = self._loop.time() >= job.reject_at - _HELD_MARGIN_S
         if late or not ticket.held:
             alone.add(job.key)
             self._decide_locally(ticket)
@@ -402,7 +404,7 @@
     def _withdraw(self, ticket: _Ticket) -> None:
         _stop_timer(ticket)
         if ticket.upstream is not None:
-            report = RunReport(Ending.left, 0)
+            report = RunReport(AttemptOutcome.left, 0)
             self.finish(ticket.job, ticket.upstream, report)
             return
         self._tickets.pop(ticket.job.key, None)
--- a/packages/entry/src/tallyhall_entry/store_changes.py
+++ b/packages/entry/src/tallyhall_entry/store_changes.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 import msgspec
-from tallyhall_dispatch.topology import is_mesh
+from tallyhall_dispatch.topology import is_full_mesh
 from tallyhall_membership.rendezvous import rank
 from tallyhall_platform.change_history import ChangeBatch
 from tallyhall_platform.follower import Follower, Role
@@ -124,7 +124,7 @@
     # -- implementation
 
     def _role(self, hubs: frozenset[str]) -> Role:
-        if is_mesh(self._peer_streams.instances):
+        if is_full_mesh(self._peer_streams.instances):
             return Role.solo
         return Role.relay if self._name in hubs else Role.subscriber
 
--- a/packages/entry/src/tallyhall_entry/stored_use.py
+++ b/packages/entry/src/tallyhall_entry/stored_use.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tallyhall_dispatch.quota import Quotas, Written
+from tallyhall_dispatch.quota import Quotas, StoredUse
 
 
 class StoredUseSource:
@@ -17,13 +17,13 @@
         self._is_writer = is_writer
         self._loop = asyncio.get_running_loop()
 
-    def pending(self) -> Written | None:
+    def pending(self) -> StoredUse | None:
         """Return the use to be written now, None for no write."""
         if self._is_writer():
-            return self._quotas.due_writing(self._loop.time())
-        self._quotas.note_written({})
+            return self._quotas.use_due_for_storing(self._loop.time())
+        self._quotas.mark_stored({})
         return None
 
-    def mark_written(self, use: Written) -> None:
+    def mark_written(self, use: StoredUse) -> None:
         """Record that the use was stored."""
-        self._quotas.note_written(use)
+        self._quotas.mark_stored(use)
--- a/packages/entry/src/tallyhall_entry/upstream_announcements.py
+++ b/packages/entry/src/tallyhall_entry/upstream_announcements.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from tallyhall_core.events import Event
-from tallyhall_dispatch.named_limits import NamedLimit
+from tallyhall_dispatch.announced_limits import AnnouncedLimit
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_transport.peer import Peer
 from tallyhall_transport.peer_streams import PeerStreams
@@ -65,9 +65,9 @@
         asked_at: time at which the request of this response was sent.
         """
         known = self._dispatcher.announced_limits
-        if per_s is None and not known.is_taken_back(incarnation, asked_at):
+        if per_s is None and not known.is_withdrawn(incarnation, asked_at):
             return
-        word = NamedLimit(per_s, self._loop.time())
+        word = AnnouncedLimit(per_s, self._loop.time())
         self._apply_limit(incarnation, word, _OWN_SOURCE)
 
     # -- peer callbacks
@@ -78,7 +78,7 @@
         if batch is None:
             return
         batch.leaving_upstreams.extend(self._dispatcher.announced_leaving)
-        for incarnation, word in self._dispatcher.announced_limits.words():
+        for incarnation, word in self._dispatcher.announced_limits.all():
             self._fill_limit(batch, incarnation, word)
 
     def take(self, peer: Peer, batch: peers_pb2.Batch) -> None:
@@ -103,8 +103,10 @@
 
     def _handle_limit(self, peer: str, message: peers_pb2.NamedLimit) -> None:
         heard_at = self._loop.time() - message.heard_ms_ago / _MILLI
-        word = NamedLimit(None if message.ended else message.per_s, heard_at)
-        if self._dispatcher.announced_limits.contradicted(
+        word = AnnouncedLimit(
+            None if message.ended else message.per_s, heard_at
+        )
+        if self._dispatcher.announced_limits.is_superseded(
             message.upstream, word
         ):
             # Other peers may have accepted the outdated limit.
@@ -112,8 +114,10 @@
             return
         self._apply_limit(message.upstream, word, peer)
 
-    def _apply_limit(self, incarnation: str, word: NamedLimit, by: str) -> None:
-        if not self._dispatcher.announced_limits.take(incarnation, word):
+    def _apply_limit(
+        self, incarnation: str, word: AnnouncedLimit, by: str
+    ) -> None:
+        if not self._dispatcher.announced_limits.update(incarnation, word):
             return
         self._log(
             Event.limit_named,
@@ -161,7 +165,7 @@
         if batch is None:
             return
         for incarnation in incarnations:
-            word = self._dispatcher.announced_limits.word(incarnation)
+            word = self._dispatcher.announced_limits.get(incarnation)
             if word is not None:
                 self._fill_limit(batch, incarnation, word)
 
@@ -169,7 +173,7 @@
         self,
         batch: peers_pb2.Batch,
         incarnation: str,
-        word: NamedLimit,
+        word: AnnouncedLimit,
     ) -> None:
         batch.named_limits.add(
             upstream=incarnation,
--- a/packages/entry/src/tallyhall_entry/use_refresh.py
+++ b/packages/entry/src/tallyhall_entry/use_refresh.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from tallyhall_dispatch.quota import Quotas
-from tallyhall_dispatch.topology import is_mesh
+from tallyhall_dispatch.topology import is_full_mesh
 from tallyhall_transport.peer import Peer
 from tallyhall_transport.peer_streams import PeerStreams
 
@@ -54,7 +54,7 @@
         """Update the hubs; return those to send a request to now."""
         self._hubs = hubs & self._peer_streams.peers.keys()
         now = self._loop.time()
-        if is_mesh(self._peer_streams.instances):
+        if is_full_mesh(self._peer_streams.instances):
             return frozenset()
         if now - self._requested_at < self._quotas.refresh_s:
             return frozenset()
@@ -73,9 +73,9 @@
 
     def is_stale(self, now: float) -> bool:
         """Return whether a refresh would yield newer data."""
-        if is_mesh(self._peer_streams.instances) or not self._hubs:
+        if is_full_mesh(self._peer_streams.instances) or not self._hubs:
             return False
-        known_at = self._quotas.known_at
+        known_at = self._quotas.acknowledged_at
         return known_at is None or now - known_at >= self._quotas.refresh_s
 
     async def refresh(self) -> bool:
@@ -106,6 +106,6 @@
         while self._loop.time() < now + _ANSWER_TIMEOUT_S:
             await asyncio.sleep(_POLL_S)
             self._take_known()
-            known_at = self._quotas.known_at
+            known_at = self._quotas.acknowledged_at
             if known_at is not None and known_at >= now:
                 return
--- a/packages/platform/src/tallyhall_platform/entries.py
+++ b/packages/platform/src/tallyhall_platform/entries.py
@@ -5,7 +5,7 @@
 from typing import Annotated
 
 import msgspec
-from tallyhall_dispatch.quota import Written
+from tallyhall_dispatch.quota import StoredUse
 
 from .addresses import parse_address
 from .errors import DecodeError
@@ -54,7 +54,7 @@
     return msgspec.json.encode(entry)
 
 
-def decode_quota_use(raw: bytes) -> Written:
+def decode_quota_use(raw: bytes) -> StoredUse:
     """Decode the stored use of quotas; raise DecodeError.
 
     Maps each workspace to pairs of an age in seconds and the amount that was
@@ -63,6 +63,6 @@
     return parse_json(raw, dict[str, tuple[tuple[_Seconds, float], ...]])
 
 
-def encode_quota_use(use: Written) -> bytes:
+def encode_quota_use(use: StoredUse) -> bytes:
     """Encode the use of quotas for the store."""
     return msgspec.json.encode(use)
--- a/packages/platform/src/tallyhall_platform/registration.py
+++ b/packages/platform/src/tallyhall_platform/registration.py
@@ -15,7 +15,7 @@
 
 import msgspec
 from tallyhall_core.events import Event
-from tallyhall_dispatch.quota import Written
+from tallyhall_dispatch.quota import StoredUse
 
 from .call_counts import CallCause
 from .entries import (
@@ -42,10 +42,10 @@
 class QuotaUseSource(Protocol):
     """Provides the use of quotas, which must survive all processes."""
 
-    def pending(self) -> Written | None:
+    def pending(self) -> StoredUse | None:
         """Return the use to write now, None if there is nothing to write."""
 
-    def mark_written(self, use: Written) -> None:
+    def mark_written(self, use: StoredUse) -> None:
         """Record that the store holds this use."""
 
 
--- a/packages/platform/src/tallyhall_platform/view.py
+++ b/packages/platform/src/tallyhall_platform/view.py
@@ -19,7 +19,7 @@
 import msgspec
 from tallyhall_core.events import Event
 from tallyhall_dispatch.desired import DesiredState, Upstream
-from tallyhall_dispatch.quota import Written
+from tallyhall_dispatch.quota import StoredUse
 
 from .change_history import ChangeBatch, ChangeHistory
 from .decode import decode_state
@@ -63,7 +63,7 @@
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
         """Handle the new set of all registered instances."""
 
-    def on_stored_use(self, use: Written) -> None:
+    def on_stored_use(self, use: StoredUse) -> None:
         """Handle the use of quotas that was stored before this run."""
 
     def on_state_confirmed(self, asked_at: float) -> None:
--- a/packages/transport/src/tallyhall_transport/peer_codec.py
+++ b/packages/transport/src/tallyhall_transport/peer_codec.py
@@ -12,8 +12,8 @@
 import math
 from typing import TYPE_CHECKING
 
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
-from tallyhall_dispatch.refusing import GivenUp, Outlook
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
+from tallyhall_dispatch.rejection import RejectDecision, RejectionForecast
 
 if TYPE_CHECKING:
     from .generated import peers_pb2
@@ -33,14 +33,14 @@
     ask.prompt_tokens = job.prompt_tokens
     ask.output_tokens = job.output_tokens
     ask.due_in_ms = int((job.due_at - now) * _MILLI)
-    ask.give_up_in_ms = int((job.give_up_at - now) * _MILLI)
+    ask.give_up_in_ms = int((job.reject_at - now) * _MILLI)
     ask.excluded.extend(job.excluded)
-    ask.spare = job.spare
+    ask.spare = job.over_quota
     ask.pause_ms = int(job.pause_s * _MILLI)
-    ask.suspect = job.suspect
+    ask.suspect = job.suspect_digest
     ask.route = job.route
-    ask.once = job.once
-    for upstream, until in job.resting.items():
+    ask.once = job.non_idempotent
+    for upstream, until in job.backoffs.items():
         left_ms = math.ceil((until - now) * _MILLI)
         ask.resting.add(upstream=upstream, left_ms=max(0, left_ms))
 
@@ -56,36 +56,36 @@
         output_tokens=ask.output_tokens,
         asked_at=now,
         due_at=now + ask.due_in_ms / _MILLI,
-        give_up_at=now + ask.give_up_in_ms / _MILLI,
+        reject_at=now + ask.give_up_in_ms / _MILLI,
         excluded=frozenset(ask.excluded),
-        spare=ask.spare,
+        over_quota=ask.spare,
         pause_s=ask.pause_ms / _MILLI,
-        suspect=ask.suspect,
-        resting={
+        suspect_digest=ask.suspect,
+        backoffs={
             rest.upstream: now + rest.left_ms / _MILLI for rest in ask.resting
         },
         route=ask.route,
-        once=ask.once,
+        non_idempotent=ask.once,
     )
 
 
-def encode_give_up(give_up: peers_pb2.GiveUp, given_up: GivenUp) -> None:
+def encode_give_up(give_up: peers_pb2.GiveUp, given_up: RejectDecision) -> None:
     """Encode the decision that a job cannot be answered in time."""
     give_up.key = given_up.key
     give_up.retry_after_ms = int(given_up.retry_after_s * _MILLI)
-    outlook = given_up.outlook
-    give_up.wait_ms = min(_MAX_WAIT_MS, int(outlook.wait_s * _MILLI))
-    give_up.ahead = outlook.ahead
-    give_up.rate = outlook.rate
-    give_up.free = outlook.free
+    forecast = given_up.forecast
+    give_up.wait_ms = min(_MAX_WAIT_MS, int(forecast.wait_s * _MILLI))
+    give_up.ahead = forecast.ahead
+    give_up.rate = forecast.rate
+    give_up.free = forecast.free
 
 
-def decode_give_up(give_up: peers_pb2.GiveUp) -> GivenUp:
+def decode_give_up(give_up: peers_pb2.GiveUp) -> RejectDecision:
     """Decode another instance's decision to give up a job."""
-    return GivenUp(
+    return RejectDecision(
         give_up.key,
         give_up.retry_after_ms / _MILLI,
-        Outlook(
+        RejectionForecast(
             give_up.ahead,
             give_up.wait_ms / _MILLI,
             give_up.rate,
@@ -121,7 +121,7 @@
     if done.first_ms != _NO_FIRST_EVENT:
         first_s = done.first_ms / _MILLI
     return RunReport(
-        Ending(done.ending),
+        AttemptOutcome(done.ending),
         done.total_ms / _MILLI,
         first_s,
         done.events,
--- a/packages/transport/src/tallyhall_transport/peer_streams.py
+++ b/packages/transport/src/tallyhall_transport/peer_streams.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from tallyhall_dispatch.topology import beat_s, is_mesh
+from tallyhall_dispatch.topology import heartbeat_s, is_full_mesh
 
 from .loading import load_streams
 from .peer import Peer, PeerEndpoint, ReadState
@@ -90,7 +90,7 @@
     @property
     def is_relay(self) -> bool:
         """Return whether this instance relays between other instances."""
-        return self.is_hub and not is_mesh(self.instances)
+        return self.is_hub and not is_full_mesh(self.instances)
 
     @property
     def instances(self) -> int:
@@ -200,7 +200,7 @@
         # All registered instances, with this one.
         self.registered = frozenset((*self._endpoints, self._name))
         # The interval of heartbeats.
-        self.heartbeat_s = beat_s(len(self._endpoints))
+        self.heartbeat_s = heartbeat_s(len(self._endpoints))
         # A peer that was not heard for this long counts as lost.
         self.peer_timeout_s = _LOST_HEARTBEATS * self.heartbeat_s
         # A stream without an echo for this long is reopened.
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -22,7 +22,7 @@
     Options,
     StoreOptions,
 )
-from tallyhall_dispatch.topology import is_mesh
+from tallyhall_dispatch.topology import is_full_mesh
 from tallyhall_edge.client import ClientConnection
 from tallyhall_edge.errors import ConnectionFailedError
 from tallyhall_edge.messages import (
@@ -300,7 +300,7 @@
         known = len(self.store.keys('servers/'))
         for instance in self.instances:
             await until(lambda: instance.heard_count == len(names), 10)
-            if is_mesh(len(names)):
+            if is_full_mesh(len(names)):
                 await until(lambda: instance.live_instances == names)
             await until(lambda: instance.usable_upstreams == known)
 
--- a/tests/platform/limit_fleet.py
+++ b/tests/platform/limit_fleet.py
@@ -19,7 +19,7 @@
 
 from tallyhall_core.refusals import RefusedError
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
 from tallyhall_edge.scheduling import Dispatcher, JobRejectedError
 from tallyhall_entry.shared import SharedScheduler
 from tallyhall_platform.decode import decode_state
@@ -287,7 +287,9 @@
             node.scheduler.upstream_listener.on_leaving(
                 engine.upstream.incarnation
             )
-        report = RunReport(Ending.answered, engine.run_s, engine.run_s, 2)
+        report = RunReport(
+            AttemptOutcome.answered, engine.run_s, engine.run_s, 2
+        )
         node.scheduler.finish(job, grant.upstream, report)
 
     def _create_node(self, name: str) -> Node:
--- a/tests/platform/quota_fleet.py
+++ b/tests/platform/quota_fleet.py
@@ -14,8 +14,8 @@
 
 from tallyhall_dispatch.desired import Workspace
 from tallyhall_dispatch.freshness import Freshness
-from tallyhall_dispatch.gate import Gate
-from tallyhall_dispatch.quota_limits import Fleet, QuotaBounds
+from tallyhall_dispatch.gate import AdmissionGate
+from tallyhall_dispatch.quota_limits import FleetView, QuotaBounds
 from tallyhall_dispatch.retries import RetryLimits
 from tallyhall_entry.knowledge import peer_knowledge
 from tallyhall_entry.logs import EventLog
@@ -56,7 +56,7 @@
     """One instance."""
 
     name: str
-    gate: Gate
+    gate: AdmissionGate
     peer_streams: PeerStreams
     peer_reports: PeerReports
     use_refresher: UseRefresher
@@ -74,8 +74,10 @@
         self.hubs = seen.hubs
         times = peer_knowledge(peer_streams, self.name, seen.hubs, now)
         heard = seen.heard_count / size
-        fleet = Fleet(size, heard, times.known_at, times.counted_at)
-        self.gate.quotas.take_fleet(fleet)
+        fleet = FleetView(
+            size, heard, times.acknowledged_at, times.propagated_at
+        )
+        self.gate.quotas.apply_fleet(fleet)
 
 
 @dataclasses.dataclass(slots=True)
@@ -171,11 +173,11 @@
         names = {node.name for node in gone}
         kept = [node for node in self.nodes if node.name not in names]
         now = self._clock.now
-        written = kept[0].gate.quotas.worth_writing(now) if kept else {}
+        written = kept[0].gate.quotas.use_to_store(now) if kept else {}
         self._opened = {pair for pair in self._opened if names.isdisjoint(pair)}
         for old in gone:
             node = self._node(old.name, now)
-            node.gate.quotas.recall(written, now)
+            node.gate.quotas.restore(written, now)
             self.nodes[self._names.index(node.name)] = node
             self._by_name[node.name] = node
             self._begin(node)
@@ -232,8 +234,8 @@
         now = self._clock.now
         quotas = self.nodes[number].gate.quotas
         name = self._workspace.name
-        over = quotas.take(name, amount, now)
-        if over and not quotas.take_spare(name, amount, now):
+        over = quotas.charge(name, amount, now)
+        if over and not quotas.charge_over_quota(name, amount, now):
             return False
         self.taken.append((now, amount))
         self._ask_owner(self.nodes[number])
@@ -327,7 +329,7 @@
         return used
 
     def _node(self, name: str, started_at: float) -> Node:
-        gate = Gate(
+        gate = AdmissionGate(
             Freshness(5),
             RetryLimits(0.2, 50, 10),
             self._bounds,
--- a/tests/platform/test_asks.py
+++ b/tests/platform/test_asks.py
@@ -26,7 +26,7 @@
 
 import pytest
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_entry import shared
 from tallyhall_entry.knowledge import PeerKnowledge
@@ -57,7 +57,7 @@
     await network.run(0.6)
     assert any(network.holds(name, 'a/1') for name in _OWNERS)
     for owner in (first, second):
-        report = RunReport(Ending.answered, 1)
+        report = RunReport(AttemptOutcome.answered, 1)
         network.dispatchers[owner].finish('x/1', MODEL, 'u', report)
     await network.run(0.2)
     assert asked.done()
--- a/tests/platform/test_decisions.py
+++ b/tests/platform/test_decisions.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 from tallyhall_dispatch.desired import Upstream, Workspace
 from tallyhall_dispatch.freshness import Freshness
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
 from tallyhall_dispatch.ownership import Ownership
-from tallyhall_dispatch.pool import Granted, ServicePool
-from tallyhall_dispatch.quota import Quotas, Written
-from tallyhall_dispatch.quota_limits import Fleet, QuotaBounds
-from tallyhall_dispatch.refusing import GivenUp
+from tallyhall_dispatch.pool import GrantDecision, ServicePool
+from tallyhall_dispatch.quota import Quotas, StoredUse
+from tallyhall_dispatch.quota_limits import FleetView, QuotaBounds
+from tallyhall_dispatch.rejection import RejectDecision
 from tallyhall_dispatch.retries import RetryBudget, RetryLimits
 from tallyhall_dispatch.windows import SlidingSum
 from tallyhall_edge.events import BadEventError, EventSplitter
@@ -59,17 +59,17 @@
     nodes = [Quotas(bounds, -100) for _ in range(3)]
     for node in nodes:
         node.configure({'w': workspace})
-        node.take_fleet(Fleet(3, 1))
+        node.apply_fleet(FleetView(3, 1))
     taken: list[tuple[float, float]] = []
     now: float = 0
     for pause, amount, chosen in steps:
         now += pause
-        if nodes[chosen].take('w', amount, now):
+        if nodes[chosen].charge('w', amount, now):
             continue
         taken.append((now, amount))
         for number, node in enumerate(nodes):
             if number != chosen:
-                node.reported('w', amount, now)
+                node.record_admitted('w', amount, now)
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT
 
 
@@ -81,12 +81,12 @@
     nodes = [Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100) for _ in range(3)]
     for node in nodes:
         node.configure({'w': workspace})
-        node.take_fleet(Fleet(3, 1 / 3))
+        node.apply_fleet(FleetView(3, 1 / 3))
     taken: list[tuple[float, float]] = []
     now: float = 0
     for pause, amount, chosen in steps:
         now += pause
-        if not nodes[chosen].take('w', amount, now):
+        if not nodes[chosen].charge('w', amount, now):
             taken.append((now, amount))
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT * 1.1 + 100
 
@@ -99,20 +99,20 @@
     """
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     taken: list[tuple[float, float]] = []
-    written: Written = {}
+    written: StoredUse = {}
     for started_at in (0, 2, 4):
         node = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), started_at)
         node.configure({'w': workspace})
         if started_at:
-            node.recall(written, started_at)
+            node.restore(written, started_at)
         else:
             node.adopt({}, started_at)
         for step in range(40):
             now = started_at + step * 0.05
-            if not node.take('w', 50, now):
+            if not node.charge('w', 50, now):
                 taken.append((now, 50))
             if step == 38:
-                written = node.worth_writing(now)
+                written = node.use_to_store(now)
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT * 1.1 + 100
 
 
@@ -122,21 +122,21 @@
     young = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), 5)
     for node in (old, young):
         node.configure({'w': workspace})
-    assert not old.take('w', _LIMIT, 4.9)
-    assert not young.knows_past(5)
+    assert not old.charge('w', _LIMIT, 4.9)
+    assert not young.knows_full_window(5)
     report = old.report(5)['w']
     young.adopt({'w': ((0, report.fleet),)}, 5)
-    assert young.knows_past(5)
-    assert young.take('w', 10, 5.1) > 0
-    assert not young.take('w', 10, 14)
+    assert young.knows_full_window(5)
+    assert young.charge('w', 10, 5.1) > 0
+    assert not young.charge('w', 10, 14)
 
 
 def test_lowered_quota_applies_immediately() -> None:
     node = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100)
     node.configure({'w': Workspace('w', None, _RATE, _BURST, True, 1)})
-    assert not node.take('w', 400, 0)
+    assert not node.charge('w', 400, 0)
     node.configure({'w': Workspace('w', None, 10, 0, True, 1)})
-    assert node.take('w', 1, 0.1) > 0
+    assert node.charge('w', 1, 0.1) > 0
 
 
 @given(_steps)
@@ -151,9 +151,9 @@
     for pause, burst, chosen in steps:
         now += pause
         for _ in range(burst % 20):
-            nodes[chosen].request(now)
+            nodes[chosen].record_request(now)
             requests.append(now)
-            if nodes[chosen].take(now, 3):
+            if nodes[chosen].try_retry(now, 3):
                 repeats.append(now)
         recent = sum(at > now - 10 for at in repeats)
         # A retry may use the budget of requests of the preceding window.
@@ -163,14 +163,14 @@
 
 def test_freshness_counts_from_the_confirming_query() -> None:
     fresh = Freshness(3)
-    assert not fresh.holds(0)
-    fresh.confirm(10)
-    assert fresh.holds(12.9)
-    assert not fresh.holds(13)
-    fresh.confirm(9)
-    assert not fresh.holds(13)
-    fresh.confirm(11)
-    assert fresh.holds(13)
+    assert not fresh.is_valid(0)
+    fresh.record_confirmation(10)
+    assert fresh.is_valid(12.9)
+    assert not fresh.is_valid(13)
+    fresh.record_confirmation(9)
+    assert not fresh.is_valid(13)
+    fresh.record_confirmation(11)
+    assert fresh.is_valid(13)
 
 
 def _upstream(name: str, slots: int, *, leaving: bool = False) -> Upstream:
@@ -184,11 +184,11 @@
 def _places(pool: ServicePool, now: float) -> list[tuple[str, Upstream]]:
     """Run a decision that must consist of grants only."""
     decisions = pool.decide(now)
-    assert all(isinstance(decision, Granted) for decision in decisions)
+    assert all(isinstance(decision, GrantDecision) for decision in decisions)
     return [
         (decision.key, decision.upstream)
         for decision in decisions
-        if isinstance(decision, Granted)
+        if isinstance(decision, GrantDecision)
     ]
 
 
@@ -205,11 +205,13 @@
     for number in range(80):
         now += rng.random() * 0.1
         if rng.random() < 0.7:
-            pool.ask(_job(f'j{number}', rng.randrange(3), now))
+            pool.enqueue(_job(f'j{number}', rng.randrange(3), now))
         if running and rng.random() < 0.5:
             key = rng.choice(sorted(running))
             running.pop(key)
-            ending = rng.choice((Ending.answered, Ending.broken))
+            ending = rng.choice(
+                (AttemptOutcome.answered, AttemptOutcome.broken)
+            )
             pool.finish(key, RunReport(ending, 0.2, 0.05, 9, 0.1), now)
         if rng.random() < 0.1:
             leaving = rng.random() < 0.5
@@ -218,7 +220,7 @@
         for decision in pool.decide(now):
             assert decision.key not in decided
             decided.add(decision.key)
-            if isinstance(decision, Granted):
+            if isinstance(decision, GrantDecision):
                 assert not decision.upstream.leaving
                 running[decision.key] = decision.upstream.incarnation
         counts = list(running.values())
@@ -228,15 +230,15 @@
 def test_pool_serves_jobs_in_time_before_late_jobs() -> None:
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 1)])
-    pool.ask(_job('runs', 0, 0))
+    pool.enqueue(_job('runs', 0, 0))
     assert _places(pool, 0) == [('runs', _upstream('u', 1))]
-    pool.ask(_job('late', 0, 0))
-    pool.ask(_job('fresh', 2, 1.5))
-    pool.finish('runs', RunReport(Ending.answered, 0.1), 1.5)
+    pool.enqueue(_job('late', 0, 0))
+    pool.enqueue(_job('fresh', 2, 1.5))
+    pool.finish('runs', RunReport(AttemptOutcome.answered, 0.1), 1.5)
     granted = [
         decision.key
         for decision in pool.decide(1.5)
-        if isinstance(decision, Granted)
+        if isinstance(decision, GrantDecision)
     ]
     assert granted == ['fresh']
 
@@ -244,23 +246,23 @@
 def test_pool_rejects_a_job_before_its_timeout() -> None:
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 1)])
-    pool.ask(_job('runs', 0, 0))
+    pool.enqueue(_job('runs', 0, 0))
     pool.decide(0)
-    pool.ask(_job('waits', 0, 0))
+    pool.enqueue(_job('waits', 0, 0))
     assert not pool.decide(0.1)
     decision = pool.decide(1.99)[0]
-    assert isinstance(decision, GivenUp)
+    assert isinstance(decision, RejectDecision)
     assert decision.retry_after_s > 0
 
 
 def test_pool_leaves_slots_to_unreachable_instances() -> None:
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 9)])
-    pool.take_share(1 / 3)
+    pool.apply_share(1 / 3)
     for number in range(9):
-        pool.ask(_job(f'j{number}', 0, 0))
+        pool.enqueue(_job(f'j{number}', 0, 0))
     assert len(pool.decide(0)) == 3
-    pool.take_share(1)
+    pool.apply_share(1)
     assert len(pool.decide(0)) == 6
 
 
@@ -314,8 +316,8 @@
     now: float = 0
     for pause, amount, _ in steps:
         now += pause
-        over = node.take('w', amount, now)
-        if not over or node.take_spare('w', amount, now):
+        over = node.charge('w', amount, now)
+        if not over or node.charge_over_quota('w', amount, now):
             taken.append((now, amount))
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT + 0.5 * (
         0.1 * _LIMIT + 100
@@ -326,10 +328,10 @@
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     young = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), 0)
     cut = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100)
-    cut.take_fleet(Fleet(3, 2 / 3))
+    cut.apply_fleet(FleetView(3, 2 / 3))
     for node in (young, cut):
         node.configure({'w': workspace})
-        assert not node.take_spare('w', 1, 0.1)
+        assert not node.charge_over_quota('w', 1, 0.1)
 
 
 def test_over_quota_jobs_leave_a_quarter_of_the_slots_free() -> None:
@@ -337,9 +339,9 @@
     pool.set_upstreams([_upstream('u', 8)])
     for number in range(8):
         job = _job(f'j{number}', 0, 0)
-        pool.ask(msgspec.structs.replace(job, spare=True))
+        pool.enqueue(msgspec.structs.replace(job, over_quota=True))
     decisions = pool.decide(0)
-    granted = [one for one in decisions if isinstance(one, Granted)]
+    granted = [one for one in decisions if isinstance(one, GrantDecision)]
     assert len(granted) == 7
     assert len(decisions) == 8
 
@@ -354,18 +356,22 @@
     slow, fast = _upstream('slow', 1), _upstream('fast', 1)
     first_s = {slow: 2.03, fast: 0.13}
     pool.set_upstreams([slow, fast])
-    pool.ask(_long('a', 0))
-    pool.ask(_long('b', 0))
+    pool.enqueue(_long('a', 0))
+    pool.enqueue(_long('b', 0))
     for granted in pool.decide(0):
-        assert isinstance(granted, Granted)
+        assert isinstance(granted, GrantDecision)
         took_s = first_s[granted.upstream]
-        report = RunReport(Ending.answered, took_s + 0.5, took_s, 50, 0.5)
+        report = RunReport(
+            AttemptOutcome.answered, took_s + 0.5, took_s, 50, 0.5
+        )
         pool.finish(granted.key, report, 0)
-    pool.note_running(_long('runs', 0), 'fast')
-    pool.first_byte('runs')
-    pool.ask(_long('waits', 1))
+    pool.add_running(_long('runs', 0), 'fast')
+    pool.record_first_byte('runs')
+    pool.enqueue(_long('waits', 1))
     assert not pool.decide(1)
-    pool.finish('runs', RunReport(Ending.answered, 0.6, 0.13, 50, 0.5), 1.1)
+    pool.finish(
+        'runs', RunReport(AttemptOutcome.answered, 0.6, 0.13, 50, 0.5), 1.1
+    )
     assert _places(pool, 1.1) == [('waits', fast)]
 
 
@@ -374,18 +380,18 @@
     pool = ServicePool('svc', 5, random.Random(1))
     pool.set_upstreams([_upstream('u', 2)])
     now: float = 0
-    report = RunReport(Ending.answered, 0.1, 0.02, 9, 0.08)
+    report = RunReport(AttemptOutcome.answered, 0.1, 0.02, 9, 0.08)
     for number in range(60):
         now += 0.05
-        pool.ask(_job(f'first-{number}', 0, now))
+        pool.enqueue(_job(f'first-{number}', 0, now))
         pool.decide(now)
         if number > 1:
             pool.finish(f'first-{number - 2}', report, now)
             pool.decide(now)
-    pool.ask(_job('first-last', 0, now))
+    pool.enqueue(_job('first-last', 0, now))
     pool.decide(now)
     waited: float = 0
-    pool.ask(_job('second', 1, now))
+    pool.enqueue(_job('second', 1, now))
     while not pool.decide(now + waited):
         waited += 0.01
     assert waited < 0.1
@@ -396,26 +402,26 @@
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     node = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), -100)
     node.configure({'w': workspace})
-    assert node.due_writing(0) is None
-    node.reported('w', 600, 0)
-    due = node.due_writing(0)
+    assert node.use_due_for_storing(0) is None
+    node.record_admitted('w', 600, 0)
+    due = node.use_due_for_storing(0)
     assert due
     # The write to the store failed.
-    assert node.due_writing(0.1)
-    node.note_written(due)
-    assert node.due_writing(0.2) is None
-    node.reported('w', 50, 0.3)
-    assert node.due_writing(0.3) is None
-    node.reported('w', 10, 0.4)
-    due = node.due_writing(0.4)
+    assert node.use_due_for_storing(0.1)
+    node.mark_stored(due)
+    assert node.use_due_for_storing(0.2) is None
+    node.record_admitted('w', 50, 0.3)
+    assert node.use_due_for_storing(0.3) is None
+    node.record_admitted('w', 10, 0.4)
+    due = node.use_due_for_storing(0.4)
     assert due
-    node.note_written(due)
+    node.mark_stored(due)
     # Use that has left the window is cleared with one write.
-    cleared = node.due_writing(9)
+    cleared = node.use_due_for_storing(9)
     assert cleared is not None
     assert not cleared
-    node.note_written({})
-    assert node.due_writing(9.1) is None
+    node.mark_stored({})
+    assert node.use_due_for_storing(9.1) is None
 
 
 def test_restarted_part_of_the_fleet_gets_its_part_of_the_quota() -> None:
@@ -423,8 +429,8 @@
     workspace = Workspace('w', None, _RATE, _BURST, True, 1)
     node = Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), 0)
     node.configure({'w': workspace})
-    node.take_fleet(Fleet(7, 2 / 7))
-    assert not node.take('w', 0.3 * _LIMIT * 2 / 7, 0.1)
+    node.apply_fleet(FleetView(7, 2 / 7))
+    assert not node.charge('w', 0.3 * _LIMIT * 2 / 7, 0.1)
 
 
 @given(_steps)
@@ -436,13 +442,13 @@
     nodes = [Quotas(QuotaBounds(_WINDOW_S, 0.1, 100), 0) for _ in range(3)]
     for node in nodes:
         node.configure({'w': workspace})
-        node.take_fleet(Fleet(3, 1 / 3))
+        node.apply_fleet(FleetView(3, 1 / 3))
     taken: list[tuple[float, float]] = [
         (-step * 0.1, 0.6 * _LIMIT / 80) for step in range(80, 0, -1)
     ]
     now: float = 0
     for pause, amount, chosen in steps:
         now += pause
-        if not nodes[chosen].take('w', amount, now):
+        if not nodes[chosen].charge('w', amount, now):
             taken.append((now, amount))
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT * 1.1 + 100
--- a/tests/platform/test_late_writes.py
+++ b/tests/platform/test_late_writes.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from tallyhall_dispatch.options import Listening
-from tallyhall_dispatch.quota import Written
+from tallyhall_dispatch.quota import StoredUse
 from tallyhall_platform.entries import InstanceEntry
 from tallyhall_platform.errors import StoreError, StoreUnavailableError
 from tallyhall_platform.registration import Registration
@@ -106,10 +106,10 @@
 class _NoUse:
     """A source without any use of quotas."""
 
-    def pending(self) -> Written | None:
+    def pending(self) -> StoredUse | None:
         """Return None: there is nothing to write."""
 
-    def mark_written(self, use: Written) -> None:
+    def mark_written(self, use: StoredUse) -> None:
         """Ignore the call."""
 
 
--- a/tests/platform/test_lateness.py
+++ b/tests/platform/test_lateness.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from tallyhall_dispatch.desired import Route, RouteKind
-from tallyhall_dispatch.jobs import Grant
-from tallyhall_dispatch.refusing import GivenUp, Outlook
+from tallyhall_dispatch.jobs import SlotGrant
+from tallyhall_dispatch.rejection import RejectDecision, RejectionForecast
 from tallyhall_edge.lateness import lateness
 from tallyhall_edge.request_context import RequestContext, record_send
 from tallyhall_transport.generated import peers_pb2
@@ -45,7 +45,7 @@
     context: RequestContext, waited_s: float, forecast_s: float, at: float
 ) -> None:
     record_send(
-        context, Grant(cast('Any', None), 'x', waited_s, forecast_s), at
+        context, SlotGrant(cast('Any', None), 'x', waited_s, forecast_s), at
     )
 
 
@@ -92,7 +92,7 @@
     st.floats(0, 10_000, width=32),
     st.integers(0, 6000),
 )
-def test_outlook_survives_encoding_and_decoding(
+def test_forecast_survives_encoding_and_decoding(
     retry_s: float,
     ahead: int,
     wait_s: float,
@@ -100,12 +100,14 @@
     free: int,
 ) -> None:
     message = peers_pb2.GiveUp()
-    original = GivenUp('one/1', retry_s, Outlook(ahead, wait_s, rate, free))
+    original = RejectDecision(
+        'one/1', retry_s, RejectionForecast(ahead, wait_s, rate, free)
+    )
     encode_give_up(message, original)
     sent = message.SerializeToString()
     decoded = decode_give_up(peers_pb2.GiveUp.FromString(sent))
     assert decoded.key == original.key
     assert decoded.retry_after_s == pytest.approx(retry_s, abs=0.001)
-    outlook = decoded.outlook
-    assert (outlook.ahead, outlook.rate, outlook.free) == (ahead, rate, free)
-    assert outlook.wait_s == pytest.approx(min(wait_s, 3600), abs=0.001)
+    forecast = decoded.forecast
+    assert (forecast.ahead, forecast.rate, forecast.free) == (ahead, rate, free)
+    assert forecast.wait_s == pytest.approx(min(wait_s, 3600), abs=0.001)
--- a/tests/platform/test_leavers.py
+++ b/tests/platform/test_leavers.py
@@ -3,7 +3,7 @@
 import random
 
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.leavers import Leavers
+from tallyhall_dispatch.leaving_upstreams import LeavingUpstreams
 from tallyhall_edge.scheduling import Dispatcher
 
 _MANY = 5000
@@ -16,21 +16,21 @@
 
 
 def test_announcement_is_new_only_once() -> None:
-    leavers = Leavers()
+    leavers = LeavingUpstreams()
     assert leavers.add('u')
     assert not leavers.add('u')
-    assert leavers.marked(_upstream('u')).leaving
-    assert not leavers.marked(_upstream('v')).leaving
+    assert leavers.mark_leaving(_upstream('u')).leaving
+    assert not leavers.mark_leaving(_upstream('v')).leaving
 
 
 def test_announcement_does_not_apply_to_another_incarnation() -> None:
-    leavers = Leavers()
+    leavers = LeavingUpstreams()
     leavers.add(_upstream('u', 1).incarnation)
-    assert not leavers.marked(_upstream('u', 2)).leaving
+    assert not leavers.mark_leaving(_upstream('u', 2)).leaving
 
 
 def test_size_is_bounded_and_the_newest_are_kept() -> None:
-    leavers = Leavers()
+    leavers = LeavingUpstreams()
     for number in range(_MANY):
         leavers.add(f'u{number}')
     assert f'u{_MANY - 1}' in leavers
--- a/tests/platform/test_limit_returns.py
+++ b/tests/platform/test_limit_returns.py
@@ -7,9 +7,9 @@
 from tallyhall_dispatch.forecast import Forecast
 from tallyhall_dispatch.group import UpstreamGroup
 from tallyhall_dispatch.jobs import Job
-from tallyhall_dispatch.refusing import RejectionPolicy
-from tallyhall_dispatch.shares import GrantRates
-from tallyhall_dispatch.switches import ALL_ON
+from tallyhall_dispatch.rejection import RejectionPolicy
+from tallyhall_dispatch.switches import ALL_ENABLED
+from tallyhall_dispatch.urgency_stats import GrantRates
 
 _LIMIT_PER_S = 0.25
 
@@ -25,13 +25,13 @@
 ) -> None:
     """Only if all upstreams have limits; others may have a slot sooner."""
     rng = random.Random(1)
-    group = UpstreamGroup(ALL_ON, rng)
+    group = UpstreamGroup(ALL_ENABLED, rng)
     group.set_upstreams(
         Upstream(name, 'svc', '', 1, 'a', 1, leaving=False)
         for name in ('u', 'v')
     )
     group.apply_limits(dict.fromkeys(limited, _LIMIT_PER_S), 1, 0)
-    policy = RejectionPolicy(group, GrantRates(), rng, ALL_ON)
+    policy = RejectionPolicy(group, GrantRates(), rng, ALL_ENABLED)
     job = Job('k', 'svc', 'a', 0, 100, 30, 0, 1, 2)
     rate = 2 * _LIMIT_PER_S
     rejection = policy.evaluate(job, 4, Forecast(0, rate, 0.03, 0.0001))
--- a/tests/platform/test_peer_reports.py
+++ b/tests/platform/test_peer_reports.py
@@ -26,7 +26,7 @@
 
 from tallyhall_dispatch.desired import Workspace
 from tallyhall_dispatch.freshness import Freshness
-from tallyhall_dispatch.gate import Gate
+from tallyhall_dispatch.gate import AdmissionGate
 from tallyhall_dispatch.quota_limits import QuotaBounds
 from tallyhall_dispatch.retries import RetryLimits
 from tallyhall_entry.logs import EventLog
@@ -46,7 +46,7 @@
 @dataclasses.dataclass(slots=True)
 class _Node:
     name: str
-    gate: Gate
+    gate: AdmissionGate
     peer_reports: PeerReports
     peer_streams: PeerStreams
     peers: dict[str, Peer] = dataclasses.field(default_factory=dict)
@@ -69,7 +69,7 @@
 
 
 def _node(name: str, started_at: float) -> _Node:
-    gate = Gate(
+    gate = AdmissionGate(
         Freshness(5),
         RetryLimits(0.2, 50, 10),
         QuotaBounds(8, 0.1, 100),
@@ -98,7 +98,7 @@
     old = [_node('a', now - 100), _node('b', now - 100)]
     for node in old:
         node.peer_streams.heard_count = len(_NAMES)
-        assert not node.gate.quotas.take('w', 200, now)
+        assert not node.gate.quotas.charge('w', 200, now)
     for sender in old:
         for other in old:
             if sender is not other:
@@ -109,28 +109,28 @@
     await asyncio.sleep(_TWO_REPORTS_S)
     for again in (*old, *old):
         again.report_to(restarted)
-    assert not restarted.gate.quotas.take('w', _LIMIT - 401, now + 0.5)
-    assert restarted.gate.quotas.take('w', 10, now + 0.5) > 0
+    assert not restarted.gate.quotas.charge('w', _LIMIT - 401, now + 0.5)
+    assert restarted.gate.quotas.charge('w', 10, now + 0.5) > 0
 
 
 async def test_usage_is_adopted_only_from_a_peer_that_knows_all() -> None:
     """The first responding peer knows of 100, the second one of all 500."""
     now = asyncio.get_running_loop().time()
     partial, complete = _node('a', now - 100), _node('b', now - 100)
-    assert not partial.gate.quotas.take('w', 100, now)
-    assert not complete.gate.quotas.take('w', 400, now)
+    assert not partial.gate.quotas.charge('w', 100, now)
+    assert not complete.gate.quotas.charge('w', 400, now)
     partial.report_to(complete)
     complete.peer_streams.heard_count = len(_NAMES)
     restarted = _node('c', now)
-    restarted.gate.quotas.recall({'w': ((0, 800),)}, now)
+    restarted.gate.quotas.restore({'w': ((0, 800),)}, now)
     partial.report_to(restarted)
     # The recalled usage applies until a peer knows the complete usage.
-    assert restarted.gate.quotas.take('w', 60, now + 0.1) > 0
+    assert restarted.gate.quotas.charge('w', 60, now + 0.1) > 0
     complete.report_to(restarted)
     await asyncio.sleep(_TWO_REPORTS_S)
     complete.report_to(restarted)
-    assert not restarted.gate.quotas.take('w', _LIMIT - 501, now + 0.5)
-    assert restarted.gate.quotas.take('w', 10, now + 0.5) > 0
+    assert not restarted.gate.quotas.charge('w', _LIMIT - 501, now + 0.5)
+    assert restarted.gate.quotas.charge('w', 10, now + 0.5) > 0
 
 
 async def test_adoption_subtracts_own_usage_less_returns() -> None:
@@ -140,20 +140,20 @@
     """
     now = asyncio.get_running_loop().time()
     old, third = _node('a', now - 100), _node('b', now - 100)
-    assert not old.gate.quotas.take('w', 400, now)
+    assert not old.gate.quotas.charge('w', 400, now)
     old.peer_streams.heard_count = len(_NAMES)
     restarted = _node('c', now)
-    assert not restarted.gate.quotas.take('w', 200, now)
+    assert not restarted.gate.quotas.charge('w', 200, now)
     restarted.report_to(old)
-    restarted.gate.quotas.give_back('w', 200, now, now)
+    restarted.gate.quotas.refund('w', 200, now, now)
     restarted.report_to(old)
     for sender in (third, old):
         sender.report_to(restarted)
     await asyncio.sleep(_TWO_REPORTS_S)
     for again in (third, old):
         again.report_to(restarted)
-    assert restarted.gate.quotas.knows_past(now + 0.5)
-    assert restarted.gate.quotas.take('w', _LIMIT - 300, now + 0.5) > 0
+    assert restarted.gate.quotas.knows_full_window(now + 0.5)
+    assert restarted.gate.quotas.charge('w', _LIMIT - 300, now + 0.5) > 0
 
 
 async def test_usage_after_an_adoption_is_counted() -> None:
@@ -167,9 +167,9 @@
     old[1].report_to(restarted)
     await asyncio.sleep(_TWO_REPORTS_S)
     old[0].report_to(restarted)
-    assert not old[1].gate.quotas.take('w', 300, now)
+    assert not old[1].gate.quotas.charge('w', 300, now)
     old[1].report_to(restarted)
-    assert restarted.gate.quotas.take('w', _LIMIT - 299, now + 0.5) > 0
+    assert restarted.gate.quotas.charge('w', _LIMIT - 299, now + 0.5) > 0
 
 
 async def test_a_later_report_contains_all_usage() -> None:
@@ -177,7 +177,7 @@
     now = asyncio.get_running_loop().time()
     old = [_node('a', now - 100), _node('b', now - 100)]
     for node in old:
-        assert not node.gate.quotas.take('w', 200, now)
+        assert not node.gate.quotas.charge('w', 200, now)
     old[1].report_to(old[0])
     restarted = _node('c', now)
     for first in old:
@@ -185,8 +185,8 @@
     await asyncio.sleep(_TWO_REPORTS_S)
     old[0].peer_streams.heard_count = len(_NAMES)
     old[0].report_to(restarted)
-    assert not restarted.gate.quotas.take('w', _LIMIT - 401, now + 0.5)
-    assert restarted.gate.quotas.take('w', 10, now + 0.5) > 0
+    assert not restarted.gate.quotas.charge('w', _LIMIT - 401, now + 0.5)
+    assert restarted.gate.quotas.charge('w', 10, now + 0.5) > 0
 
 
 async def test_usage_unknown_to_the_adopted_sender_is_counted() -> None:
@@ -194,17 +194,17 @@
     now = asyncio.get_running_loop().time()
     sender, other = _node('a', now - 100), _node('b', now - 100)
     restarted = _node('c', now)
-    assert not other.gate.quotas.take('w', 100, now)
+    assert not other.gate.quotas.charge('w', 100, now)
     for receiver in (sender, restarted):
         other.report_to(receiver)
     sender.report_to(restarted)
     await asyncio.sleep(_TWO_REPORTS_S)
-    assert not other.gate.quotas.take('w', 100, now + 0.4)
+    assert not other.gate.quotas.charge('w', 100, now + 0.4)
     other.report_to(restarted)
     sender.peer_streams.heard_count = len(_NAMES)
     sender.report_to(restarted)
-    assert restarted.gate.quotas.knows_past(now + 0.5)
-    assert restarted.gate.quotas.take('w', _LIMIT - 199, now + 0.5) > 0
+    assert restarted.gate.quotas.knows_full_window(now + 0.5)
+    assert restarted.gate.quotas.charge('w', _LIMIT - 199, now + 0.5) > 0
 
 
 async def test_usage_of_a_new_instance_is_counted_after_an_adoption() -> None:
@@ -218,7 +218,7 @@
     await asyncio.sleep(_TWO_REPORTS_S)
     old[0].report_to(restarted)
     newcomer = _node('d', now)
-    assert not newcomer.gate.quotas.take('w', 300, now + 0.5)
+    assert not newcomer.gate.quotas.charge('w', 300, now + 0.5)
     newcomer.report_to(restarted)
-    assert restarted.gate.quotas.knows_past(now + 0.5)
-    assert restarted.gate.quotas.take('w', _LIMIT - 299, now + 0.6) > 0
+    assert restarted.gate.quotas.knows_full_window(now + 0.5)
+    assert restarted.gate.quotas.charge('w', _LIMIT - 299, now + 0.6) > 0
--- a/tests/platform/test_peer_tracker.py
+++ b/tests/platform/test_peer_tracker.py
@@ -73,15 +73,18 @@
     peers['n1'] = Peer('n1', last_heard_at=now, echoed_at=now - 0.1)
     peers['n2'] = Peer('n2', last_heard_at=now, echoed_at=now)
     assert (
-        peer_knowledge(peer_streams, 'n0', frozenset(('n1',)), now).counted_at
+        peer_knowledge(
+            peer_streams, 'n0', frozenset(('n1',)), now
+        ).propagated_at
         == now - 0.1
     )
     assert (
         peer_knowledge(
             peer_streams, 'n0', frozenset(('n0', 'n1')), now
-        ).counted_at
+        ).propagated_at
         == now
     )
     assert (
-        peer_knowledge(peer_streams, 'n0', frozenset(), now).counted_at is None
+        peer_knowledge(peer_streams, 'n0', frozenset(), now).propagated_at
+        is None
     )
--- a/tests/platform/test_quota_returns.py
+++ b/tests/platform/test_quota_returns.py
@@ -19,7 +19,7 @@
 from tallyhall_core.refusals import RefusedError
 from tallyhall_dispatch.desired import Workspace
 from tallyhall_dispatch.freshness import Freshness
-from tallyhall_dispatch.gate import Admitted, Gate
+from tallyhall_dispatch.gate import AdmissionGate, Admitted
 from tallyhall_dispatch.quota_limits import QuotaBounds
 from tallyhall_dispatch.retries import RetryLimits
 from tallyhall_platform.decode import decode_state
@@ -48,15 +48,15 @@
     return json.dumps(changed).encode()
 
 
-def _gate() -> Gate:
+def _gate() -> AdmissionGate:
     retries = RetryLimits(0.2, 50, 10)
-    gate = Gate(Freshness(5), retries, _BOUNDS, random.Random(1), -100)
-    gate.take_state(decode_state(_state(100, 200)))
+    gate = AdmissionGate(Freshness(5), retries, _BOUNDS, random.Random(1), -100)
+    gate.apply_state(decode_state(_state(100, 200)))
     return gate
 
 
-def _admit(gate: Gate, tokens: int, now: float) -> Admitted | None:
-    gate.freshness.confirm(now)
+def _admit(gate: AdmissionGate, tokens: int, now: float) -> Admitted | None:
+    gate.freshness.record_confirmation(now)
     try:
         return gate.admit(SITE, '/safe/x', KEY, tokens, now)
     except RefusedError:
@@ -68,7 +68,7 @@
     gate = _gate()
     waiting = _admit(gate, 900, 0)
     assert waiting is not None
-    gate.give_back(waiting, 4)
+    gate.refund(waiting, 4)
     assert _admit(gate, 900, 4.1)
     assert _admit(gate, 900, 8.4) is None
 
@@ -78,15 +78,15 @@
     fleet = QuotaFleet(clock, 2, _WORKSPACE, _BOUNDS)
     gate, other = (node.gate for node in fleet.nodes)
     fleet.run(1)
-    gate.take_state(decode_state(_state(100, 200)))
+    gate.apply_state(decode_state(_state(100, 200)))
     waiting = _admit(gate, 900, clock.now)
     assert waiting is not None
     fleet.run(4)
-    gate.give_back(waiting, clock.now)
+    gate.refund(waiting, clock.now)
     fleet.run(1)
-    assert not other.quotas.take('shop', 900, clock.now)
+    assert not other.quotas.charge('shop', 900, clock.now)
     fleet.run(3.6)
-    assert other.quotas.take('shop', 900, clock.now) > 0
+    assert other.quotas.charge('shop', 900, clock.now) > 0
 
 
 async def test_refunds_of_unequal_age_hide_no_executed_request() -> None:
@@ -100,17 +100,17 @@
     fleet = QuotaFleet(clock, 2, _WORKSPACE, _BOUNDS)
     gate, other = (node.gate for node in fleet.nodes)
     fleet.run(1)
-    gate.take_state(decode_state(_state(100, 200)))
+    gate.apply_state(decode_state(_state(100, 200)))
     charged = []
     for wait_s in (3, 3.8, 0.2):
         charged.append(_admit(gate, 300, clock.now))
         fleet.run(wait_s)
     first, _, last = charged
     assert first is not None and last is not None
-    gate.give_back(first, clock.now)
-    gate.give_back(last, clock.now)
+    gate.refund(first, clock.now)
+    gate.refund(last, clock.now)
     fleet.run(2)
-    assert other.quotas.take('shop', 750, clock.now) > 0
+    assert other.quotas.charge('shop', 750, clock.now) > 0
 
 
 @given(
@@ -137,7 +137,7 @@
         waiting.sort(key=lambda entry: entry[0])
         while waiting and waiting[0][0] <= now:
             ends_at, unserved = waiting.pop(0)
-            gate.give_back(unserved, ends_at)
+            gate.refund(unserved, ends_at)
         admitted = _admit(gate, tokens, now)
         if admitted is None:
             continue
--- a/tests/platform/test_shared.py
+++ b/tests/platform/test_shared.py
@@ -7,8 +7,8 @@
 import pytest
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.jobs import Job
-from tallyhall_dispatch.pool import Granted
-from tallyhall_dispatch.refusing import GivenUp
+from tallyhall_dispatch.pool import GrantDecision
+from tallyhall_dispatch.rejection import RejectDecision
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_entry import shared
 from tallyhall_platform.decode import decode_state
@@ -125,8 +125,8 @@
     def __init__(self) -> None:
         self.granted_keys: list[str] = []
 
-    def on_granted(self, granted: Granted) -> None:
+    def on_granted(self, granted: GrantDecision) -> None:
         self.granted_keys.append(granted.key)
 
-    def on_rejected(self, given_up: GivenUp) -> None:
+    def on_rejected(self, given_up: RejectDecision) -> None:
         raise AssertionError(given_up)
--- a/tests/platform/test_silent_store.py
+++ b/tests/platform/test_silent_store.py
@@ -19,7 +19,7 @@
 from tallyhall_bench.ports import free_ports
 from tallyhall_dispatch.desired import DesiredState, Upstream
 from tallyhall_dispatch.options import Listening
-from tallyhall_dispatch.quota import Written
+from tallyhall_dispatch.quota import StoredUse
 from tallyhall_platform.entries import InstanceEntry
 from tallyhall_platform.follower import Follower
 from tallyhall_platform.outage import OutageTracker
@@ -85,7 +85,7 @@
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
         """Ignore the instances."""
 
-    def on_stored_use(self, use: Written) -> None:
+    def on_stored_use(self, use: StoredUse) -> None:
         """Ignore the use of quotas."""
 
     def on_state_confirmed(self, asked_at: float) -> None:
--- a/tests/platform/test_starts.py
+++ b/tests/platform/test_starts.py
@@ -16,8 +16,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
-from tallyhall_dispatch.pool import Granted, ServicePool
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
+from tallyhall_dispatch.pool import GrantDecision, ServicePool
 from tallyhall_platform.upstreams import UpstreamRegistry
 from tallyhall_standins.platform_engine import EngineFault, EngineStandIn
 
@@ -34,8 +34,8 @@
 _KEY = 'servers/i-1'
 _SLOTS = 3
 _FIRST_START_MS = 1_700_000_000_000
-_SLOW_REPORT = RunReport(Ending.answered, 9, 8, 20, 1)
-_FAILED_REPORT = RunReport(Ending.failed, 0.1)
+_SLOW_REPORT = RunReport(AttemptOutcome.answered, 9, 8, 20, 1)
+_FAILED_REPORT = RunReport(AttemptOutcome.failed, 0.1)
 
 
 def _entry(start: int, serial: int, state: str = 'ready') -> bytes:
@@ -120,7 +120,7 @@
     def receive_run_of_peer(self, start: int) -> None:
         job = self._new_job('peer')
         incarnation = f'i-1@{_FIRST_START_MS + start}'
-        self.pool.note_running(job, incarnation)
+        self.pool.add_running(job, incarnation)
         if incarnation == self._current():
             self.sent[job.key] = _Sent(job, incarnation)
 
@@ -129,9 +129,9 @@
     @rule()
     def request_slot(self) -> None:
         job = self._new_job('own')
-        self.pool.ask(job)
+        self.pool.enqueue(job)
         for decision in self.pool.decide(self.now):
-            if not isinstance(decision, Granted):
+            if not isinstance(decision, GrantDecision):
                 continue
             # Only the newest incarnation is granted.
             incarnation = decision.upstream.incarnation
@@ -144,7 +144,7 @@
             return
         key = sorted(self.sent)[index % len(self.sent)]
         sent = self.sent.pop(key)
-        self.pool.first_byte(key)
+        self.pool.record_first_byte(key)
         self.pool.finish(
             key, _FAILED_REPORT if fails else _SLOW_REPORT, self.now
         )
@@ -155,7 +155,7 @@
     def find_old_incarnation_misplaced(self, start: int) -> None:
         other = f'i-1@{_FIRST_START_MS + start}'
         if other != self._current():
-            self.pool.misplaced(other)
+            self.pool.ignore_upstream(other)
 
     @invariant()
     def only_the_newest_incarnation_is_listed(self) -> None:
@@ -182,10 +182,12 @@
         view = self.pool.views.get(self._current())
         if view is None or self._current() in self.with_reports:
             return
-        assert view.hold_s is None
-        assert not view.is_aside(self.now)
-        assert view.reading_tokens == sum(
-            run.job.prompt_tokens for run in view.runs.values() if run.reading
+        assert view.service_time_s is None
+        assert not view.is_ejected(self.now)
+        assert view.prefill_tokens == sum(
+            run.job.prompt_tokens
+            for run in view.runs.values()
+            if run.in_prefill
         )
 
     def _current(self) -> str:
@@ -199,7 +201,7 @@
             _job(f'{source}/{self.job_count}'),
             asked_at=self.now,
             due_at=self.now + 5,
-            give_up_at=self.now + 5,
+            reject_at=self.now + 5,
         )
 
 
--- a/tests/platform/test_suspect_jobs.py
+++ b/tests/platform/test_suspect_jobs.py
@@ -6,13 +6,13 @@
 import random
 
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
-from tallyhall_dispatch.pool import Granted, ServicePool
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
+from tallyhall_dispatch.pool import GrantDecision, ServicePool
 from tallyhall_transport.generated import peers_pb2
 from tallyhall_transport.peer_codec import decode_job, encode_job
 
-_BROKEN = RunReport(Ending.unknown, 0.1)
-_ANSWERED = RunReport(Ending.answered, 0.1, 0.05, 5, 0.05)
+_BROKEN = RunReport(AttemptOutcome.unknown, 0.1)
+_ANSWERED = RunReport(AttemptOutcome.answered, 0.1, 0.05, 5, 0.05)
 _SLOTS = 4
 # Longer than it takes until all instances know the outcome of a run.
 _SETTLE_S = 0.2
@@ -28,11 +28,11 @@
 
 
 def _job(key: str, suspect: str = '') -> Job:
-    return Job(key, 'svc', 'a', 0, 100, 30, 0, 5, 5, suspect=suspect)
+    return Job(key, 'svc', 'a', 0, 100, 30, 0, 5, 5, suspect_digest=suspect)
 
 
 def _ask(pool: ServicePool, job: Job, now: float = 0) -> None:
-    pool.ask(job)
+    pool.enqueue(job)
     pool.decide(now)
 
 
@@ -64,13 +64,13 @@
     _ask(pool, _job('again', 'x'), 0.1)
     assert not _running(pool)
     granted = pool.decide(0.1 + _SETTLE_S)
-    assert [type(grant) for grant in granted] == [Granted]
+    assert [type(grant) for grant in granted] == [GrantDecision]
 
 
 def test_a_started_answer_delays_no_attempt() -> None:
     pool = _pool(3)
     _ask(pool, _job('first', 'x'))
-    pool.first_byte('first')
+    pool.record_first_byte('first')
     _ask(pool, _job('again', 'x'))
     assert _running(pool).keys() == {'first', 'again'}
 
@@ -96,4 +96,4 @@
 def test_the_owner_receives_the_suspect() -> None:
     ask = peers_pb2.Ask()
     encode_job(ask, _job('first', 'x'), 0)
-    assert decode_job(ask, 0).suspect == 'x'
+    assert decode_job(ask, 0).suspect_digest == 'x'
