--- a/tests/platform/test_token_bucket.py
+++ b/tests/platform/test_token_bucket.py
@@ -4,10 +4,10 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
+from tallyhall_dispatch.announced_limits import AnnouncedLimit, AnnouncedLimits
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.group import UpstreamGroup
-from tallyhall_dispatch.named_limits import NamedLimit, NamedLimits
-from tallyhall_dispatch.switches import ALL_ON
+from tallyhall_dispatch.switches import ALL_ENABLED
 from tallyhall_dispatch.token_bucket import TokenBucket
 
 from tests.platform.windows import most_in_window
@@ -73,7 +73,7 @@
 
 
 def test_canary_may_announce_a_limit() -> None:
-    group = UpstreamGroup(ALL_ON, random.Random(1))
+    group = UpstreamGroup(ALL_ENABLED, random.Random(1))
     fields = ('svc', '', 1, 'a', 1)
     group.set_upstreams(
         (
@@ -82,18 +82,18 @@
         ),
     )
     group.apply_limits({'new': 2}, 1, 0)
-    assert group.is_limited
+    assert group.has_limits
     assert [view.incarnation for view in group.free_canaries(1)] == ['new']
 
 
 def test_latest_announcement_applies() -> None:
-    limits = NamedLimits()
-    assert limits.take('u', NamedLimit(3, 10))
-    assert not limits.take('u', NamedLimit(5, 9))
-    assert limits.contradicted('u', NamedLimit(5, 9))
-    assert not limits.is_taken_back('u', 9.5)
-    assert limits.is_taken_back('u', 10.5)
-    assert limits.take('u', NamedLimit(None, 11))
+    limits = AnnouncedLimits()
+    assert limits.update('u', AnnouncedLimit(3, 10))
+    assert not limits.update('u', AnnouncedLimit(5, 9))
+    assert limits.is_superseded('u', AnnouncedLimit(5, 9))
+    assert not limits.is_withdrawn('u', 9.5)
+    assert limits.is_withdrawn('u', 10.5)
+    assert limits.update('u', AnnouncedLimit(None, 11))
     assert not limits.current
-    assert not limits.take('u', NamedLimit(3, 10))
+    assert not limits.update('u', AnnouncedLimit(3, 10))
     assert not limits.current
--- a/tests/platform/test_told.py
+++ b/tests/platform/test_told.py
@@ -18,7 +18,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from tallyhall_dispatch.desired import DesiredState, Upstream
-from tallyhall_dispatch.quota import Written
+from tallyhall_dispatch.quota import StoredUse
 from tallyhall_platform.change_history import ChangeBatch, ChangeHistory
 from tallyhall_platform.entries import InstanceEntry
 from tallyhall_platform.outage import OutageTracker
@@ -49,7 +49,7 @@
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
         """Ignore the instances."""
 
-    def on_stored_use(self, use: Written) -> None:
+    def on_stored_use(self, use: StoredUse) -> None:
         """Ignore the quota usage."""
 
     def on_state_confirmed(self, asked_at: float) -> None:
--- a/tests/platform/test_topology.py
+++ b/tests/platform/test_topology.py
@@ -30,7 +30,7 @@
     selection = Topology('n1').choose(
         _FEW, frozenset(('n2',)), _NO_INSTANCES, _same
     )
-    assert selection.linked == _FEW - {'n1'}
+    assert selection.peers == _FEW - {'n1'}
     assert selection.hubs == _FEW - {'n2'}
 
 
@@ -41,7 +41,7 @@
     ]
     assert len({one.hubs for one in selection}) == 1
     assert len(selection[0].hubs) == 4
-    assert all(len(one.linked) <= 4 for one in selection)
+    assert all(len(one.peers) <= 4 for one in selection)
 
 
 def test_the_largest_machines_are_hubs() -> None:
@@ -61,7 +61,7 @@
     )
     heard = _MANY - {hub}
     assert (
-        Topology(hub).choose(_MANY, _NO_INSTANCES, heard, _same).linked == heard
+        Topology(hub).choose(_MANY, _NO_INSTANCES, heard, _same).peers == heard
     )
 
 
@@ -73,7 +73,7 @@
     assert hubs - lost < selection.hubs
     assert len(selection.hubs) == 4
     # It is still contacted, so that its return is detected.
-    assert lost <= selection.linked | {'n1'}
+    assert lost <= selection.peers | {'n1'}
 
 
 def test_stopping_instances_are_not_hubs_while_others_are_left() -> None:
@@ -85,7 +85,7 @@
     )
     assert selection.hubs <= _MANY - half
     assert selection.owners == selection.hubs
-    assert len(selection.linked) <= 4
+    assert len(selection.peers) <= 4
 
 
 def test_fleet_that_stops_as_a_whole_keeps_its_hubs() -> None:
@@ -100,7 +100,7 @@
         .hubs
     )
     assert not selection.owners
-    assert len(selection.linked) <= 4
+    assert len(selection.peers) <= 4
 
 
 def test_stopping_instances_in_a_mesh_are_heard_but_own_nothing() -> None:
@@ -110,7 +110,7 @@
     )
     assert selection.hubs == _FEW
     assert selection.owners == _FEW - stops
-    assert selection.linked == _FEW - {'n1'}
+    assert selection.peers == _FEW - {'n1'}
 
 
 @settings(max_examples=60)
@@ -137,16 +137,16 @@
     now: float = 0
     for pause, amount, chosen in steps:
         now += pause
-        if nodes[chosen].take('w', amount, now):
+        if nodes[chosen].charge('w', amount, now):
             continue
         taken.append((now, amount))
         totals[chosen] += amount
         if chosen:
-            nodes[0].reported('w', amount, now)
+            nodes[0].record_admitted('w', amount, now)
         report = nodes[0].report(now)['w']
         for number in range(1, 4):
             fleet = FleetUse('hub', report.fleet, totals[number], now)
-            nodes[number].heard('w', fleet)
+            nodes[number].record_fleet_use('w', fleet)
     # Reports become outdated between two steps, when use can only decrease.
     assert most_in_window(taken, _WINDOW_S) <= _LIMIT * 1.1 + 100
 
--- a/tests/platform/test_use_refresh.py
+++ b/tests/platform/test_use_refresh.py
@@ -8,7 +8,7 @@
 from tallyhall_core.refusals import Reason, Refusal
 from tallyhall_dispatch.gate import OverQuotaError
 from tallyhall_dispatch.quota import Quotas
-from tallyhall_dispatch.quota_limits import Fleet, QuotaBounds
+from tallyhall_dispatch.quota_limits import FleetView, QuotaBounds
 from tallyhall_entry.use_refresh import UseRefresher
 from tallyhall_transport.generated import peers_pb2
 from tallyhall_transport.peer import Peer, PeerEndpoint
@@ -53,8 +53,8 @@
 
     def knows(self, known_at: float) -> None:
         """Set the time up to which others know the admissions."""
-        fleet = Fleet(self._instances, 1, known_at, known_at)
-        self.quotas.take_fleet(fleet)
+        fleet = FleetView(self._instances, 1, known_at, known_at)
+        self.quotas.apply_fleet(fleet)
 
     def _outgoing(self, name: str, *, urgent: bool) -> None:
         batch = peers_pb2.Batch()
--- a/tests/platform/test_waiting.py
+++ b/tests/platform/test_waiting.py
@@ -15,9 +15,11 @@
 )
 
 
-def _job(number: int, urgency: int, due_at: float, *, spare: bool) -> Job:
+def _job(number: int, urgency: int, due_at: float, *, over_quota: bool) -> Job:
     key = f'{"ab"[number % 2]}/{number}'
-    return Job(key, 's', 'a', urgency, 1, 1, 0, due_at, 99, spare=spare)
+    return Job(
+        key, 's', 'a', urgency, 1, 1, 0, due_at, 99, over_quota=over_quota
+    )
 
 
 def _is_late(moment: float, job: Job) -> bool:
@@ -40,7 +42,7 @@
     late_before: float = 0
     for number, (action, urgency, amount) in enumerate(actions):
         if action == 'a':
-            job = _job(number, urgency, amount, spare=not amount % 7)
+            job = _job(number, urgency, amount, over_quota=not amount % 7)
             waiting.add(job)
             model[job.key] = job
         elif action == 'r' and model:
@@ -61,7 +63,7 @@
                     job
                     for job in model.values()
                     if job.urgency == urgency
-                    and late == (job.spare or job.due_at < moment)
+                    and late == (job.over_quota or job.due_at < moment)
                 ),
                 key=lambda job: job.due_at,
             )
--- a/tests/unit/test_emulator.py
+++ b/tests/unit/test_emulator.py
@@ -16,7 +16,7 @@
 import simpy
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tallyhall_dispatch.jobs import Ending, RunReport
+from tallyhall_dispatch.jobs import AttemptOutcome, RunReport
 from tallyhall_emulator.arrivals import Arrival, arrivals, draw
 from tallyhall_emulator.bound import bound
 from tallyhall_emulator.callers import Outcome
@@ -83,7 +83,7 @@
 
 def test_an_engine_reads_then_streams_and_slows_with_company() -> None:
     alone = _report(1)[0]
-    assert alone.ending is Ending.answered
+    assert alone.ending is AttemptOutcome.answered
     assert alone.events == 10
     # Two chunks of 0.1 s, a step each, the fixed part, up to a step more.
     assert alone.first_s == pytest.approx(0.24, abs=0.011)
@@ -110,7 +110,7 @@
     engine.crash()
     assert engine.start(Arrival(10, 0, _KIND, 10, 10)) is None
     endings = {run.ended.value.ending for run in runs if run is not None}
-    assert endings == {Ending.broken, Ending.unknown}
+    assert endings == {AttemptOutcome.broken, AttemptOutcome.unknown}
 
 
 def test_a_calm_service_serves_all_in_time() -> None:
--- a/tests/unit/test_rollouts.py
+++ b/tests/unit/test_rollouts.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.evidence import CanaryAnalysis
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
-from tallyhall_dispatch.pool import Granted, ServicePool
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
+from tallyhall_dispatch.pool import GrantDecision, ServicePool
 from tallyhall_dispatch.rollout import (
     BLOCK_VALID_S,
     Rollout,
@@ -27,10 +27,10 @@
 
 _BOUNDS = RolloutBounds(0.1, 50)
 _ORDER = RolloutOrder('svc', 'v2', 16, 10)
-_GOOD = RunReport(Ending.answered, 0.2, 0.05, 8, 0.14)
-_SLOW = RunReport(Ending.answered, 1.6, 0.4, 8, 1.12)
-_FAILED = RunReport(Ending.failed, 0.05)
-_CUT = RunReport(Ending.broken, 0.05)
+_GOOD = RunReport(AttemptOutcome.answered, 0.2, 0.05, 8, 0.14)
+_SLOW = RunReport(AttemptOutcome.answered, 1.6, 0.4, 8, 1.12)
+_FAILED = RunReport(AttemptOutcome.failed, 0.05)
+_CUT = RunReport(AttemptOutcome.broken, 0.05)
 _PER_S = 80
 _SEEDS = range(20)
 
@@ -48,7 +48,9 @@
 
 
 def _job(key: str, route: str = 'r', *, once: bool = False) -> Job:
-    return Job(key, 'svc', 'a', 0, 100, 30, 0, 5, 5, route=route, once=once)
+    return Job(
+        key, 'svc', 'a', 0, 100, 30, 0, 5, 5, route=route, non_idempotent=once
+    )
 
 
 def _status(state: RolloutState, revision: int = 11) -> RolloutStatus:
@@ -60,7 +62,7 @@
 ) -> dict[str, set[str]]:
     """Return the versions in use, the canaries and the excluded ones."""
     taking: dict[str, set[str]] = {'used': set(), 'canary': set(), 'out': set()}
-    for one in versions.marked(_both(), now):
+    for one in versions.classify(_both(), now):
         kind = 'canary' if one.canary else 'used'
         taking['out' if one.leaving else kind].add(one.version)
     return taking
@@ -68,7 +70,7 @@
 
 def _known() -> ServiceVersions:
     versions = ServiceVersions()
-    versions.marked(_both()[:3], 0)
+    versions.classify(_both()[:3], 0)
     return versions
 
 
@@ -117,10 +119,10 @@
 def test_another_version_is_used_once_the_accepted_one_is_gone() -> None:
     versions = _known()
     new = _both()[3:]
-    assert all(one.leaving for one in versions.marked(new, 1))
-    assert all(one.leaving for one in versions.marked(new, 4))
-    assert versions.is_absent(6)
-    assert not any(one.leaving for one in versions.marked(new, 6))
+    assert all(one.leaving for one in versions.classify(new, 1))
+    assert all(one.leaving for one in versions.classify(new, 4))
+    assert versions.lost_accepted_version(6)
+    assert not any(one.leaving for one in versions.classify(new, 6))
 
 
 def test_rolled_back_version_is_never_used_for_lack_of_others() -> None:
@@ -128,7 +130,7 @@
     versions.order = _ORDER
     versions.status = _status(RolloutState.rolled_back)
     for now in (1, 10, 100):
-        assert all(one.leaving for one in versions.marked(_both()[3:], now))
+        assert all(one.leaving for one in versions.classify(_both()[3:], now))
 
 
 # -- evidence
@@ -267,10 +269,10 @@
             leader = rng.choice(self.leaders)
             job = _job(f'{self.now}-{number}', rng.choice('ab'))
             self.reached += 1
-            canary = leader.may_expose(job, self.now)
+            canary = leader.may_place_on_target(job, self.now)
             self.exposed += canary
-            leader.placed(job, canary=canary)
-            leader.ended(job, 'u', _GOOD, self.now, canary=canary)
+            leader.record_placed(job, canary=canary)
+            leader.record_ended(job, 'u', _GOOD, self.now, canary=canary)
             if leader.is_write_due(self.now):
                 self.write(leader)
 
@@ -315,22 +317,24 @@
 
 def test_block_expires() -> None:
     rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
-    assert not rollout.may_expose(_job('a'), 0)
+    assert not rollout.may_place_on_target(_job('a'), 0)
     rollout.record_written(rollout.next_record('me', 0, 1), 0)
-    assert rollout.may_expose(_job('a'), 0)
-    assert not rollout.may_expose(_job('a'), BLOCK_VALID_S)
+    assert rollout.may_place_on_target(_job('a'), 0)
+    assert not rollout.may_place_on_target(_job('a'), BLOCK_VALID_S)
 
 
 def test_rejected_version_gets_no_requests_from_the_next_leader() -> None:
     rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
     for number in range(30):
-        rollout.ended(_job(str(number)), 'u', _FAILED, number / 10, canary=True)
+        rollout.record_ended(
+            _job(str(number)), 'u', _FAILED, number / 10, canary=True
+        )
     raw = msgspec.json.encode(rollout.next_record('me', 1, 1))
     record = msgspec.json.decode(raw, type=RolloutRecord)
     follower = Rollout(_ORDER, _BOUNDS, record, 0)
     follower.record_written(follower.next_record('you', 2, 2), 2)
     for leader in (rollout, follower):
-        assert not leader.may_expose(_job('x'), 2)
+        assert not leader.may_place_on_target(_job('x'), 2)
         verdict = leader.verdict(2, 12, 12)
         assert verdict is not None
         assert verdict.state is RolloutState.rolled_back
@@ -352,7 +356,7 @@
 ) -> None:
     rollout = Rollout(_ORDER, _BOUNDS, RolloutRecord(10), 0)
     for number in range(answers):
-        rollout.ended(_job(str(number)), 'u', _GOOD, 1, canary=True)
+        rollout.record_ended(_job(str(number)), 'u', _GOOD, 1, canary=True)
     assert rollout.verdict(10, *places) is None
     verdict = rollout.verdict(15.9, *places)
     assert (None if verdict is None else verdict.state) is state
@@ -363,11 +367,11 @@
 
 def _granted(pool: ServicePool, jobs: Iterable[Job], now: float) -> list[str]:
     for job in jobs:
-        pool.ask(job)
+        pool.enqueue(job)
     return [
         decision.upstream.version
         for decision in pool.decide(now)
-        if isinstance(decision, Granted)
+        if isinstance(decision, GrantDecision)
     ]
 
 
@@ -375,7 +379,7 @@
     pool = ServicePool('svc', 5, random.Random(1))
     versions = _known()
     versions.order = _ORDER
-    pool.set_upstreams(versions.marked(_both(), 1))
+    pool.set_upstreams(versions.classify(_both(), 1))
     return pool
 
 
