--- a/packages/client/src/tallyhall_client/__init__.py
+++ b/packages/client/src/tallyhall_client/__init__.py
@@ -1,1 +1,1 @@
-"""Caller library: locate, keep the answer, reconnect with the same id."""
+"""Client library: entry discovery, cached locate responses and safe retries."""
--- a/packages/client/src/tallyhall_client/client.py
+++ b/packages/client/src/tallyhall_client/client.py
@@ -1,8 +1,9 @@
-"""The caller's side of a request.
+"""Client that sends requests and retries them safely.
 
-What could not be sent is sent elsewhere under a new id. What was sent and
-did not come back whole is asked for again, elsewhere, under the same id: the
-system then finds out whether it ran, and never runs it twice.
+A request that could not be sent is sent to another entry instance with a new
+id. A request that was sent, but whose response is incomplete, is sent to
+another entry instance with the same id: the service then determines whether
+it was executed, and never executes it twice.
 """
 
 from __future__ import annotations
@@ -13,24 +14,24 @@
 
 import urllib3
 
-from .errors import BrokenError, NoEntryError, NotSentError
+from .errors import IncompleteResponseError, NoEntryError, NotSentError
 from .locating import Entry, Locator
 from .outcome import CallOptions, CallOutcome, Verdict
-from .reading import AnswerReader
+from .reading import ResponseReader
 
 _CONNECT_S = 1.0
-_GRACE_S = 2.0
-_PAUSE_S = 0.1
-_FRESH_REASONS = frozenset(('not_ready', 'stopping', 'bad_request_id'))
+_READ_GRACE_S = 2.0
+_RETRY_DELAY_S = 0.1
+_NEW_ID_REASONS = frozenset(('not_ready', 'stopping', 'bad_request_id'))
 _SAME_ID_REASONS = frozenset(('fenced',))
-_MILLI = 1000
-_POOLS = 32
-_CONNECTIONS = 64
-_NOT_SENT = (
+_MS_PER_S = 1000
+_MAX_POOLS = 32
+_MAX_POOL_CONNECTIONS = 64
+_CONNECT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
-_BROKEN = (urllib3.exceptions.HTTPError, OSError, ValueError, LookupError)
+_READ_ERRORS = (urllib3.exceptions.HTTPError, OSError, ValueError, LookupError)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,20 +43,20 @@
     started: float
 
     @property
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return self.started + self.options.deadline_s - time.monotonic()
 
 
 class Client:
-    """Sends requests for one caller; usable from several threads."""
+    """Sends requests to the entry instances; thread-safe."""
 
     def __init__(self, seeds: tuple[str, ...], key: str = '') -> None:
-        """Know these addresses of entry instances."""
+        """Use `seeds` as the initial addresses of entry instances."""
         self._locator = Locator(seeds, key)
         self._pool = urllib3.PoolManager(
             retries=False,
-            num_pools=_POOLS,
-            maxsize=_CONNECTIONS,
+            num_pools=_MAX_POOLS,
+            maxsize=_MAX_POOL_CONNECTIONS,
         )
 
     def complete(
@@ -65,7 +66,7 @@
         max_tokens: int,
         options: CallOptions,
     ) -> CallOutcome:
-        """Ask a model service; the answer is streamed and checked."""
+        """Send a streamed completion request to a model service."""
         fields = {
             'model': service,
             'prompt': prompt,
@@ -83,7 +84,7 @@
         body: bytes,
         options: CallOptions,
     ) -> CallOutcome:
-        """Call a plain service."""
+        """Send an HTTP request to a plain service."""
         full = f'/v1/services/{service}{path}'
         return self._send(method, full, body, options)
 
@@ -97,17 +98,17 @@
         request = _Request(method, path, body, options, time.monotonic())
         outcome = CallOutcome()
         avoid = ''
-        while request.left_s > 0:
+        while request.remaining_s > 0:
             entry = self._pick(avoid)
             if entry is None:
-                time.sleep(_PAUSE_S)
+                time.sleep(_RETRY_DELAY_S)
                 continue
             avoid = entry.http
-            if self._try(entry, request, outcome):
+            if self._send_once(entry, request, outcome):
                 break
         outcome.total_s = time.monotonic() - request.started
         if not outcome.sends and outcome.verdict == Verdict.unknown:
-            # No connection ever came about, so nothing was run.
+            # No connection was ever established, so nothing was executed.
             outcome.verdict = Verdict.refused
         return outcome
 
@@ -117,28 +118,28 @@
         except NoEntryError:
             return None
 
-    def _try(
+    def _send_once(
         self,
         entry: Entry,
         request: _Request,
         outcome: CallOutcome,
     ) -> bool:
-        """Send once; return whether the outcome is final."""
+        """Send the request once and return whether the outcome is final."""
         if not outcome.sends:
             outcome.request_id = entry.new_id()
         try:
             self._exchange(entry, request, outcome)
         except NotSentError:
-            self._locator.failed(entry)
+            self._locator.report_failure(entry)
             return False
-        except BrokenError:
+        except IncompleteResponseError:
             outcome.sends += 1
-            self._locator.failed(entry)
+            self._locator.report_failure(entry)
             return False
         outcome.sends += 1
-        if not _ask_again(outcome):
+        if not _should_retry(outcome):
             return True
-        time.sleep(_PAUSE_S)
+        time.sleep(_RETRY_DELAY_S)
         return False
 
     def _exchange(
@@ -147,7 +148,7 @@
         request: _Request,
         outcome: CallOutcome,
     ) -> None:
-        read_s = max(request.left_s, 0) + _GRACE_S
+        read_s = max(request.remaining_s, 0) + _READ_GRACE_S
         try:
             resp = self._pool.request(
                 request.method,
@@ -157,15 +158,15 @@
                 timeout=urllib3.Timeout(connect=_CONNECT_S, read=read_s),
                 preload_content=False,
             )
-        except _NOT_SENT as unsent:
+        except _CONNECT_ERRORS as unsent:
             raise NotSentError(str(unsent)) from unsent
         except urllib3.exceptions.HTTPError as exc:
-            raise BrokenError(str(exc)) from exc
+            raise IncompleteResponseError(str(exc)) from exc
         try:
-            AnswerReader(outcome, request.started).read(resp)
-        except _BROKEN as broken:
+            ResponseReader(outcome, request.started).read(resp)
+        except _READ_ERRORS as broken:
             resp.close()
-            raise BrokenError(str(broken)) from broken
+            raise IncompleteResponseError(str(broken)) from broken
         resp.drain_conn()
         resp.release_conn()
 
@@ -175,7 +176,9 @@
     headers = {
         'content-type': 'application/json',
         'x-tallyhall-workspace': options.workspace,
-        'x-tallyhall-deadline-ms': str(max(1, int(request.left_s * _MILLI))),
+        'x-tallyhall-deadline-ms': str(
+            max(1, int(request.remaining_s * _MS_PER_S))
+        ),
         'x-tallyhall-request-id': request_id,
     }
     if options.tier:
@@ -187,15 +190,18 @@
     return headers
 
 
-def _ask_again(outcome: CallOutcome) -> bool:
-    """Return whether to go on after a refusal, and under which id."""
+def _should_retry(outcome: CallOutcome) -> bool:
+    """Return whether to retry after a refusal.
+
+    Resets `outcome.sends` if the retry must use a new request id.
+    """
     refusal = outcome.refusal
     if refusal is None:
         return False
     if refusal.reason in _SAME_ID_REASONS:
         return True
-    if refusal.reason in _FRESH_REASONS and outcome.sends == 1:
-        # Sent only this once, and the refusal says that it was not run.
+    if refusal.reason in _NEW_ID_REASONS and outcome.sends == 1:
+        # Sent only once, and refused without having been executed.
         outcome.sends = 0
         return True
     return False
--- a/packages/client/src/tallyhall_client/errors.py
+++ b/packages/client/src/tallyhall_client/errors.py
@@ -1,19 +1,19 @@
-"""Errors of the caller library."""
+"""Exceptions raised by the client library."""
 
 from __future__ import annotations
 
 
 class ClientError(Exception):
-    """The library could not do its work."""
+    """Base class of all errors of the client library."""
 
 
 class NoEntryError(ClientError):
-    """No entry instance answers."""
+    """No entry instance responded."""
 
 
 class NotSentError(ClientError):
-    """No connection came about; nothing was sent."""
+    """The connection could not be established; nothing was sent."""
 
 
-class BrokenError(ClientError):
-    """The answer broke off; the request may have run."""
+class IncompleteResponseError(ClientError):
+    """The response is incomplete; the request may have been executed."""
--- a/packages/client/src/tallyhall_client/locating.py
+++ b/packages/client/src/tallyhall_client/locating.py
@@ -1,4 +1,4 @@
-"""The locate answer, kept for as long as it says."""
+"""Discovery of entry instances, with a cached locate response."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 _TIMEOUT_S = 2.0
 _OK = 200
-_SPREAD = 3
-_POOLS = 32
+_MAX_CANDIDATES = 3
+_MAX_POOLS = 32
 
 
 class Entry(pydantic.BaseModel):
-    """One entry instance; an id built from `prefix` names it as home."""
+    """An entry instance; request ids with its `prefix` name it as home."""
 
     instance: str
     http: str
@@ -33,70 +33,73 @@
 
 
 class LocateAnswer(pydantic.BaseModel):
-    """The entries to use and how long to keep the answer, in seconds."""
+    """The entries to use and how many seconds to cache them."""
 
     entries: tuple[Entry, ...]
     keep_s: float
 
 
 class Locator:
-    """Knows which entries to use; usable from several threads."""
+    """Chooses the entry instance for each request; thread-safe."""
 
     def __init__(self, seeds: tuple[str, ...], key: str) -> None:
-        """Ask these addresses first; the key tells callers apart."""
+        """Query `seeds` if no known entry responds.
+
+        `key` identifies the caller.
+        """
         self._seeds = seeds
         self._key = key
         self._lock = threading.Lock()
         self._answer: LocateAnswer | None = None
-        self._until: float = 0
-        self._failed: dict[str, float] = {}
+        self._expires_at: float = 0
+        self._failed_at: dict[str, float] = {}
         self._http = urllib3.PoolManager(
             retries=False,
             timeout=_TIMEOUT_S,
-            num_pools=_POOLS,
+            num_pools=_MAX_POOLS,
         )
 
     def pick(self, avoid: str = '') -> Entry:
-        """Return an entry to use now; raise NoEntryError."""
-        answer = self._current()
+        """Return an entry to send to; raise NoEntryError if there is none."""
+        answer = self._current_answer()
         now = time.monotonic()
         usable = [
             entry
             for entry in answer.entries
             if entry.http != avoid
-            and now - self._failed.get(entry.http, 0) > answer.keep_s
+            and now - self._failed_at.get(entry.http, 0) > answer.keep_s
         ]
         if usable:
-            return random.choice(usable[:_SPREAD])
+            return random.choice(usable[:_MAX_CANDIDATES])
         others = [entry for entry in answer.entries if entry.http != avoid]
         if not others and not answer.entries:
-            raise NoEntryError('no entry instance is live')
+            raise NoEntryError('no entry instance is available')
         return random.choice(others or list(answer.entries))
 
-    def failed(self, entry: Entry) -> None:
-        """Take that an entry could not be reached; ask anew soon."""
+    def report_failure(self, entry: Entry) -> None:
+        """Record that an entry is unreachable and expire the cached entries."""
         with self._lock:
-            self._failed[entry.http] = time.monotonic()
-            self._until = 0
+            self._failed_at[entry.http] = time.monotonic()
+            self._expires_at = 0
 
-    def _current(self) -> LocateAnswer:
+    def _current_answer(self) -> LocateAnswer:
         with self._lock:
-            if self._answer is None or time.monotonic() >= self._until:
-                self._answer = self._ask()
-                self._until = time.monotonic() + self._answer.keep_s
+            if self._answer is None or time.monotonic() >= self._expires_at:
+                self._answer = self._fetch()
+                self._expires_at = time.monotonic() + self._answer.keep_s
             return self._answer
 
-    def _ask(self) -> LocateAnswer:
+    def _fetch(self) -> LocateAnswer:
         known = self._answer.entries if self._answer else ()
         addresses = [entry.http for entry in known]
         random.shuffle(addresses)
         for address in (*addresses, *self._seeds):
-            answer = self._ask_one(address)
+            answer = self._fetch_from(address)
             if answer is not None and answer.entries:
                 return answer
-        raise NoEntryError('no entry instance answers a locate call')
+        raise NoEntryError('no entry instance responded to a locate request')
 
-    def _ask_one(self, address: str) -> LocateAnswer | None:
+    def _fetch_from(self, address: str) -> LocateAnswer | None:
         try:
             resp = self._http.request(
                 'GET',
--- a/packages/client/src/tallyhall_client/outcome.py
+++ b/packages/client/src/tallyhall_client/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller gets: a whole answer, a refusal, or an unknown outcome."""
+"""Outcome of a request: a complete response, a refusal, or unknown."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @enum.unique
 class Verdict(enum.StrEnum):
-    """The end of a request as its caller sees it."""
+    """How a request ended, as seen by its caller."""
 
     answered = 'answered'
     refused = 'refused'
@@ -18,7 +18,7 @@
 
 
 class RefusalBody(pydantic.BaseModel):
-    """The JSON object of a refusal."""
+    """JSON object that describes a refusal."""
 
     code: int
     reason: str
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallOptions:
-    """Whose request it is and how urgent; seconds for the deadline."""
+    """Workspace, tier, deadline and retry options of a request."""
 
     workspace: str
     tier: str = ''
@@ -42,10 +42,11 @@
 
 @dataclasses.dataclass(slots=True)
 class CallOutcome:
-    """The end of one request.
+    """Response or refusal of a request, with its measured times.
 
-    first_s and total_s count from the first send; gaps_s is the mean time
-    between tokens; sends counts the connections that carried the request.
+    first_s and total_s are measured from the call of the client; gap_s is the
+    mean time between tokens; sends is the number of times that the request
+    was sent with its current id.
     """
 
     verdict: Verdict = Verdict.unknown
@@ -63,5 +64,5 @@
 
     @property
     def reason(self) -> str:
-        """Return the refusal's reason, `unknown` without one."""
+        """Return the reason of the refusal, or the verdict if there is none."""
         return self.refusal.reason if self.refusal else str(self.verdict)
--- a/packages/client/src/tallyhall_client/reading.py
+++ b/packages/client/src/tallyhall_client/reading.py
@@ -1,7 +1,8 @@
-"""Reading an answer, with its wholeness checked.
+"""Reads responses and checks that they are complete.
 
-An answer counts as whole only with its end marker, every event in order and
-under the caller's own id; everything else is `BrokenError`.
+A streamed response is complete only if it has its end marker and if all its
+events are in sequence and carry the id of the request. Anything else raises
+`IncompleteResponseError`.
 """
 
 from __future__ import annotations
@@ -14,38 +15,41 @@
 import pydantic
 import urllib3
 
-from .errors import BrokenError
+from .errors import IncompleteResponseError
 from .outcome import CallOutcome, RefusalBody, Verdict
 
 _READ_BYTES = 65_536
 _DATA_LINE = b'data: '
 _DONE = b'[DONE]'
 _STREAM_TYPE = 'text/event-stream'
-_NO_REFUSAL = (ValueError, LookupError, TypeError, pydantic.ValidationError)
+_PARSE_ERRORS = (ValueError, LookupError, TypeError, pydantic.ValidationError)
 
 
-class AnswerReader:
-    """Reads one response into the outcome."""
+class ResponseReader:
+    """Reads one response into a `CallOutcome`."""
 
     def __init__(self, outcome: CallOutcome, started: float) -> None:
-        """Fill in this outcome; times count from `started`."""
+        """Fill in `outcome`, with times measured from `started`."""
         self._outcome = outcome
         self._started = started
         self._texts: list[str] = []
         self._expected = 0
         self._tokens = 0
-        self._first: float = 0
+        self._first_token_s: float = 0
 
     def read(self, resp: urllib3.BaseHTTPResponse) -> None:
-        """Read to the end; raise BrokenError or urllib3's errors."""
+        """Read the response.
+
+        Raises IncompleteResponseError or an error of urllib3.
+        """
         self._outcome.status = resp.status
         if resp.headers.get('content-type') == _STREAM_TYPE:
             self._read_stream(resp)
             return
         raw = resp.data
-        refusal = _refusal_in(raw)
+        refusal = _parse_refusal(raw)
         if refusal is not None:
-            self._refuse(refusal)
+            self._record_refusal(refusal)
             return
         self._outcome.text = raw.decode(errors='replace')
         self._outcome.first_s = time.monotonic() - self._started
@@ -57,22 +61,26 @@
                 continue
             payload = line[len(_DATA_LINE) :]
             if payload == _DONE:
-                self._finish()
+                self._record_success()
                 return
             event = json.loads(payload)
             if 'code' in event:
-                self._refuse(RefusalBody.model_validate(event))
+                self._record_refusal(RefusalBody.model_validate(event))
                 return
-            self._take(event)
-        raise BrokenError('ended without an end marker')
+            self._accept_event(event)
+        raise IncompleteResponseError('stream ended without an end marker')
 
-    def _take(self, event: dict[str, Any]) -> None:
+    def _accept_event(self, event: dict[str, Any]) -> None:
         own = event['id'] == self._outcome.request_id
         if not own or event['seq'] != self._expected:
-            raise BrokenError('an event that is not the next of this answer')
+            raise IncompleteResponseError(
+                'event out of sequence or of another request',
+            )
         self._expected += 1
         self._tokens += event['tokens']
-        self._first = self._first or time.monotonic() - self._started
+        self._first_token_s = (
+            self._first_token_s or time.monotonic() - self._started
+        )
         self._texts.append(event['choices'][0]['text'])
         usage = event['usage']
         if usage:
@@ -80,18 +88,18 @@
             self._outcome.prompt_tokens = usage['prompt_tokens']
             self._outcome.cached_tokens = details['cached_tokens']
 
-    def _finish(self) -> None:
+    def _record_success(self) -> None:
         outcome = self._outcome
         outcome.text = ''.join(self._texts)
         outcome.verdict = Verdict.answered
         outcome.refusal = None
         outcome.tokens = self._tokens
-        outcome.first_s = self._first
+        outcome.first_s = self._first_token_s
         if self._tokens > 1:
-            spent = time.monotonic() - self._started - self._first
+            spent = time.monotonic() - self._started - self._first_token_s
             outcome.gap_s = spent / (self._tokens - 1)
 
-    def _refuse(self, refusal: RefusalBody) -> None:
+    def _record_refusal(self, refusal: RefusalBody) -> None:
         outcome = self._outcome
         outcome.refusal = refusal
         outcome.request_id = refusal.request_id or outcome.request_id
@@ -102,16 +110,16 @@
 
 def _lines(resp: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     pending = b''
-    part = resp.read1(_READ_BYTES)
-    while part:
-        pending += part
+    chunk = resp.read1(_READ_BYTES)
+    while chunk:
+        pending += chunk
         *lines, pending = pending.split(b'\n')
         yield from lines
-        part = resp.read1(_READ_BYTES)
+        chunk = resp.read1(_READ_BYTES)
 
 
-def _refusal_in(raw: bytes) -> RefusalBody | None:
+def _parse_refusal(raw: bytes) -> RefusalBody | None:
     try:
         return RefusalBody.model_validate(json.loads(raw)['error'])
-    except _NO_REFUSAL:
+    except _PARSE_ERRORS:
         return None
