--- a/packages/client/src/tallyhall_client/client.py
+++ b/packages/client/src/tallyhall_client/client.py
@@ -19,7 +19,7 @@
 from .outcome import CallOptions, CallOutcome, Verdict
 from .reading import ResponseReader
 
-_CONNECT_S = 1.0
+_CONNECT_TIMEOUT_S = 1.0
 _READ_GRACE_S = 2.0
 _RETRY_DELAY_S = 0.1
 _NEW_ID_REASONS = frozenset(('not_ready', 'stopping', 'bad_request_id'))
@@ -155,7 +155,9 @@
                 f'http://{entry.http}{request.path}',
                 body=request.body or None,
                 headers=_headers(request, outcome.request_id),
-                timeout=urllib3.Timeout(connect=_CONNECT_S, read=read_s),
+                timeout=urllib3.Timeout(
+                    connect=_CONNECT_TIMEOUT_S, read=read_s
+                ),
                 preload_content=False,
             )
         except _CONNECT_ERRORS as unsent:
--- a/packages/client/src/tallyhall_client/reading.py
+++ b/packages/client/src/tallyhall_client/reading.py
@@ -19,7 +19,7 @@
 from .outcome import CallOutcome, RefusalBody, Verdict
 
 _READ_BYTES = 65_536
-_DATA_LINE = b'data: '
+_DATA_PREFIX = b'data: '
 _DONE = b'[DONE]'
 _STREAM_TYPE = 'text/event-stream'
 _PARSE_ERRORS = (ValueError, LookupError, TypeError, pydantic.ValidationError)
@@ -57,9 +57,9 @@
 
     def _read_stream(self, resp: urllib3.BaseHTTPResponse) -> None:
         for line in _lines(resp):
-            if not line.startswith(_DATA_LINE):
+            if not line.startswith(_DATA_PREFIX):
                 continue
-            payload = line[len(_DATA_LINE) :]
+            payload = line[len(_DATA_PREFIX) :]
             if payload == _DONE:
                 self._record_success()
                 return
