--- a/packages/gateway/src/tallyhall_gateway/__init__.py
+++ b/packages/gateway/src/tallyhall_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers (waitress) and upstreams (urllib3)."""
+"""HTTP server for callers (waitress) and HTTP client of upstreams (urllib3)."""
--- a/packages/gateway/src/tallyhall_gateway/app.py
+++ b/packages/gateway/src/tallyhall_gateway/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers and operators talk to."""
+"""WSGI application that serves callers and operators."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from .relay import MAX_HOPS, relay
 from .replies import (
     Reply,
+    completion_reply,
     json_reply,
     plain_reply,
     refusal_reply,
     stream_reply,
-    whole_reply,
 )
 from .ticket import Relay, Ticket
 
 _MODEL_PATHS = frozenset(('/v1/completions', '/v1/chat/completions'))
 _SERVICE_PATH = re.compile('/v1/services/(?P<service>[^/]+)(?P<path>/.*)?')
-_RELAY_TRIES = 3
-_GRACE_S = 10.0
+_MAX_RELAY_ATTEMPTS = 3
+_RESPONSE_GRACE_S = 10.0
 _NOT_FOUND = 404
 _OK = 200
 _UNAVAILABLE = 503
@@ -39,19 +39,19 @@
 
 
 class Scheduler(Protocol):
-    """What the application needs of the instance behind it."""
+    """Interface to the instance that schedules the requests."""
 
     def table(self) -> Table:
-        """Return the table in force."""
+        """Return the table that currently applies."""
 
     def submit(self, call: Call) -> Ticket:
-        """Take a request; its answer grows in the ticket."""
+        """Submit a request and return the ticket that receives its response."""
 
     def relay_failed(self, call: Call, ticket: Ticket) -> None:
-        """Take that the instance named in the ticket cannot be reached."""
+        """Handle that the relay target of the ticket cannot be reached."""
 
     def locate(self, key: str) -> list[LocatedEntry]:
-        """Return the entries that a caller may use, best first."""
+        """Return the entries that a caller may use, in order of preference."""
 
     def count_refusal(self, reason: Reason) -> None:
         """Count a refusal made before the request was submitted."""
@@ -62,17 +62,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppSettings:
-    """Bounds of the HTTP interface."""
+    """Settings of the HTTP interface."""
 
     max_body_bytes: int
     locate_s: float
 
 
 class Application:
-    """Routes and answers HTTP requests."""
+    """Routes HTTP requests and creates their responses."""
 
     def __init__(self, scheduler: Scheduler, cfg: AppSettings) -> None:
-        """Serve on behalf of this scheduler."""
+        """Pass requests to `scheduler`."""
         self._scheduler = scheduler
         self._cfg = cfg
 
@@ -81,7 +81,7 @@
         environ: Environ,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        """Answer one request, as WSGI."""
+        """Handle one request, as specified by WSGI."""
         try:
             reply = self._route(environ)
         except RefusedError as exc:
@@ -95,19 +95,21 @@
     def _route(self, environ: Environ) -> Reply:
         path = environ['PATH_INFO']
         if path == '/v1/locate':
-            return self._locate(environ)
+            return self._handle_locate(environ)
         if path == '/status':
             return json_reply(_OK, self._scheduler.status())
         if path == '/ready':
-            return self._ready()
+            return self._handle_ready()
         if path in _MODEL_PATHS and environ['REQUEST_METHOD'] == 'POST':
-            return self._model(environ, path)
+            return self._handle_model(environ, path)
         match = _SERVICE_PATH.fullmatch(path)
         if match is None:
             return json_reply(_NOT_FOUND, {'error': 'no such path'})
-        return self._plain(environ, match['service'], match['path'] or '/')
+        return self._handle_plain(
+            environ, match['service'], match['path'] or '/'
+        )
 
-    def _locate(self, environ: Environ) -> Reply:
+    def _handle_locate(self, environ: Environ) -> Reply:
         query = parse_qs(environ.get('QUERY_STRING', ''))
         key = query.get('key', [''])[0]
         entries = [
@@ -116,19 +118,19 @@
         answer = {'entries': entries, 'keep_s': self._cfg.locate_s}
         return json_reply(_OK, answer)
 
-    def _ready(self) -> Reply:
+    def _handle_ready(self) -> Reply:
         ready = bool(self._scheduler.status().get('ready'))
         status = _OK if ready else _UNAVAILABLE
         return json_reply(status, {'ready': ready})
 
-    def _model(self, environ: Environ, path: str) -> Reply:
-        raw = self._body(environ)
+    def _handle_model(self, environ: Environ, path: str) -> Reply:
+        raw = self._read_body(environ)
         headers = CallerHeaders.read(environ)
         call = model_call(path, raw, headers, self._table())
-        return self._answer(call)
+        return self._respond(call)
 
-    def _plain(self, environ: Environ, service: str, path: str) -> Reply:
-        raw = self._body(environ)
+    def _handle_plain(self, environ: Environ, service: str, path: str) -> Reply:
+        raw = self._read_body(environ)
         headers = CallerHeaders.read(environ)
         call = plain_call(
             environ,
@@ -138,32 +140,34 @@
             headers,
             self._table(),
         )
-        return self._answer(call)
+        return self._respond(call)
 
-    # -- one call
+    # -- requests to services
 
-    def _answer(self, call: Call) -> Reply:
+    def _respond(self, call: Call) -> Reply:
         if call.hops > MAX_HOPS:
             request_id = str(call.request_id or '')
             refusal = Refusal.of(Reason.takeover_unknown)
             return refusal_reply(refusal, request_id)
-        give_up = time.monotonic() + call.spec.left_s + _GRACE_S
+        deadline = time.monotonic() + call.spec.left_s + _RESPONSE_GRACE_S
         ticket = self._scheduler.submit(call)
-        ticket.attach(time.monotonic())
+        ticket.add_reader(time.monotonic())
         try:
-            for _ in range(_RELAY_TRIES):
-                ticket.wait_first(give_up - time.monotonic())
+            for _ in range(_MAX_RELAY_ATTEMPTS):
+                ticket.wait_for_update(deadline - time.monotonic())
                 target = ticket.relay
                 if target is None:
                     break
                 relayed = self._relay(call, ticket, target)
                 if relayed is not None:
                     return relayed
-            reply = self._local(call, ticket)
+            reply = self._buffered_reply(call, ticket)
         except BaseException:
-            ticket.detach(time.monotonic())
+            ticket.remove_reader(time.monotonic())
             raise
-        return dataclasses.replace(reply, body=_Attached(reply.body, ticket))
+        return dataclasses.replace(
+            reply, body=_ReaderTrackingBody(reply.body, ticket)
+        )
 
     def _relay(
         self,
@@ -177,14 +181,14 @@
             self._scheduler.relay_failed(call, ticket)
         return None
 
-    def _local(self, call: Call, ticket: Ticket) -> Reply:
-        if ticket.refusal is not None and not ticket.is_shown:
+    def _buffered_reply(self, call: Call, ticket: Ticket) -> Reply:
+        if ticket.refusal is not None and not ticket.has_output:
             return refusal_reply(ticket.refusal, ticket.id)
         if call.kind == 'plain':
             return plain_reply(ticket)
         if call.stream:
             return stream_reply(ticket)
-        return whole_reply(ticket)
+        return completion_reply(ticket)
 
     def _table(self) -> Table:
         table = self._scheduler.table()
@@ -192,7 +196,7 @@
             raise RefusedError(Refusal.of(Reason.not_ready, retry_after=1))
         return table
 
-    def _body(self, environ: Environ) -> bytes:
+    def _read_body(self, environ: Environ) -> bytes:
         length = int(environ.get('CONTENT_LENGTH') or 0)
         if length > self._cfg.max_body_bytes:
             detail = f'at most {self._cfg.max_body_bytes} bytes'
@@ -206,19 +210,19 @@
         return raw
 
 
-class _Attached:
-    """A body that counts its caller as a reader until it is closed."""
+class _ReaderTrackingBody:
+    """Response body whose caller counts as a reader until it is closed."""
 
     def __init__(self, body: Iterable[bytes], ticket: Ticket) -> None:
         self._body = body
         self._ticket = ticket
         self._parts = iter(body)
 
-    def __iter__(self) -> _Attached:
+    def __iter__(self) -> _ReaderTrackingBody:
         return self
 
     def __next__(self) -> bytes:
         return next(self._parts)
 
     def close(self) -> None:
-        self._ticket.detach(time.monotonic())
+        self._ticket.remove_reader(time.monotonic())
--- a/packages/gateway/src/tallyhall_gateway/calls.py
+++ b/packages/gateway/src/tallyhall_gateway/calls.py
@@ -1,7 +1,8 @@
-"""What a caller sends, checked at the border.
+"""Validation of callers' requests.
 
-Headers carry what the scheduler needs, bodies stay as they are. Everything
-wrong is answered with a typed refusal that says nothing was run.
+The scheduler's parameters are in headers. Bodies of plain calls are passed on
+unchanged. An invalid request raises a typed refusal, which states that
+nothing was executed.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 from tallyhall_table.model import MAX_DEADLINE_S, LimitRow, Table
 
 BLOCK_CHARS = 256
-CHARS_A_TOKEN = 4
+CHARS_PER_TOKEN = 4
 MAX_BLOCKS = 48
 MAX_TOKENS = 1_000_000
 _DETAIL_CHARS = 200
 _BLOCK_HASH_BYTES = 6
 _DEFAULT_MAX_TOKENS = 256
-_MILLI = 1000
-_SAFE_METHODS = frozenset(('GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'))
+_MS_PER_S = 1000
+_IDEMPOTENT_METHODS = frozenset(('GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS'))
 
 CallKind = Literal['model', 'plain']
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """The scheduler's own headers, as texts; empty where absent."""
+    """The scheduler's own headers; a missing one is an empty string."""
 
     workspace: str
     tier: str
@@ -60,14 +61,14 @@
 
 
 class Message(pydantic.BaseModel):
-    """One chat message; unknown keys are passed on untouched."""
+    """A chat message; unknown keys are passed on unchanged."""
 
     role: str
     content: str
 
 
 class ModelBody(pydantic.BaseModel):
-    """The fields of an OpenAI-style body that the scheduler reads."""
+    """Fields of an OpenAI-style request body that the scheduler reads."""
 
     model: str
     prompt: str | None = None
@@ -77,7 +78,7 @@
 
     @property
     def text(self) -> str:
-        """Return the whole prompt."""
+        """Return the complete prompt."""
         if self.prompt is not None:
             return self.prompt
         return '\n'.join(f'{msg.role}: {msg.content}' for msg in self.messages)
@@ -85,7 +86,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One checked request of a caller."""
+    """A validated request.
+
+    body: sent to the upstream. caller_body: as received, for relays.
+    """
 
     kind: CallKind
     method: str
@@ -101,7 +105,10 @@
 
 
 def parse_request_id(text: str) -> RequestId | None:
-    """Return the id, None for an empty text; refuse a malformed one."""
+    """Parse a request id; an empty string gives None.
+
+    Raises RefusedError if the id is malformed.
+    """
     if not text:
         return None
     try:
@@ -116,21 +123,21 @@
     headers: CallerHeaders,
     table: Table,
 ) -> Call:
-    """Check a completion request; raise RefusedError."""
+    """Validate a completion request; raise RefusedError if it is invalid."""
     try:
         body = ModelBody.model_validate_json(raw)
     except pydantic.ValidationError as exc:
         fault = exc.errors()[0]
         detail = f'{fault["loc"]}: {fault["msg"]}'
-        raise _refused(Reason.bad_request, detail) from exc
+        raise _refusal_error(Reason.bad_request, detail) from exc
     if not body.text:
-        raise _refused(Reason.bad_request, 'prompt or messages needed')
-    spec = _spec(headers, body.model, 'model', table)
+        raise _refusal_error(Reason.bad_request, 'prompt or messages needed')
+    spec = _request_spec(headers, body.model, 'model', table)
     max_tokens = body.max_tokens or _DEFAULT_MAX_TOKENS
     spec = dataclasses.replace(
         spec,
-        content=_content(spec, 'POST', path, raw),
-        prompt_tokens=max(1, len(body.text) // CHARS_A_TOKEN),
+        content=_request_digest(spec, 'POST', path, raw),
+        prompt_tokens=max(1, len(body.text) // CHARS_PER_TOKEN),
         max_tokens=max_tokens,
         prefixes=prefix_hashes(body.text),
         idempotent=headers.idempotent != 'false',
@@ -158,17 +165,17 @@
     headers: CallerHeaders,
     table: Table,
 ) -> Call:
-    """Check a pass-through request; raise RefusedError."""
-    spec = _spec(headers, service, 'plain', table)
+    """Validate a pass-through request; raise RefusedError if it is invalid."""
+    spec = _request_spec(headers, service, 'plain', table)
     method = environ['REQUEST_METHOD']
-    idempotent = method in _SAFE_METHODS
+    idempotent = method in _IDEMPOTENT_METHODS
     if headers.idempotent:
         idempotent = headers.idempotent == 'true'
     query = environ.get('QUERY_STRING', '')
     target = f'{path}?{query}' if query else path
     spec = dataclasses.replace(
         spec,
-        content=_content(spec, method, target, raw),
+        content=_request_digest(spec, method, target, raw),
         idempotent=idempotent,
     )
     return Call(
@@ -187,7 +194,7 @@
 
 
 def prefix_hashes(text: str) -> tuple[str, ...]:
-    """Return one hash for each growing prefix of whole blocks."""
+    """Return a hash of each prefix that consists of complete blocks."""
     hashes = []
     chain = hashlib.blake2b(digest_size=_BLOCK_HASH_BYTES)
     blocks = min(len(text) // BLOCK_CHARS, MAX_BLOCKS)
@@ -206,62 +213,68 @@
     return json.dumps(fields).encode()
 
 
-def _spec(
+def _request_spec(
     headers: CallerHeaders,
     service: str,
     kind: CallKind,
     table: Table,
 ) -> RequestSpec:
-    row = _row(headers.workspace, service, kind, table)
+    row = _limit_row(headers.workspace, service, kind, table)
     lowest = row.tiers[-1] if row.tiers else ''
     tier_name = headers.tier or lowest
     tier = table.tier(tier_name)
     if tier is None or tier_name not in row.tiers:
-        raise _refused(Reason.unknown_tier, f'open: {list(row.tiers)}')
+        raise _refusal_error(Reason.unknown_tier, f'open: {list(row.tiers)}')
     return RequestSpec(
         headers.workspace,
         service,
         tier_name,
         idempotent=True,
-        left_s=_deadline(headers.deadline_ms, tier.deadline_s),
+        left_s=_parse_deadline(headers.deadline_ms, tier.deadline_s),
     )
 
 
-def _content(spec: RequestSpec, method: str, target: str, raw: bytes) -> str:
+def _request_digest(
+    spec: RequestSpec, method: str, target: str, raw: bytes
+) -> str:
     where = (spec.service, method, target, spec.workspace)
     return content_digest(*(part.encode() for part in where), raw)
 
 
-def _row(
+def _limit_row(
     workspace: str,
     service: str,
     kind: CallKind,
     table: Table,
 ) -> LimitRow:
     if not table.has_workspace(workspace):
-        raise _refused(Reason.unknown_workspace, workspace)
+        raise _refusal_error(Reason.unknown_workspace, workspace)
     known = table.service(service)
     if known is None or known.kind != kind:
-        raise _refused(Reason.unknown_service, service)
+        raise _refusal_error(Reason.unknown_service, service)
     row = table.limit(workspace, service)
     if row is None:
-        raise _refused(Reason.unknown_service, 'not open to the workspace')
+        raise _refusal_error(
+            Reason.unknown_service, 'not open to the workspace'
+        )
     return row
 
 
-def _deadline(text: str, default_s: float) -> float:
+def _parse_deadline(text: str, default_s: float) -> float:
     if not text:
         return default_s
     try:
-        left_s = float(text) / _MILLI
+        left_s = float(text) / _MS_PER_S
     except ValueError as exc:
-        raise _refused(Reason.bad_request, 'deadline is no number') from exc
+        raise _refusal_error(
+            Reason.bad_request, 'deadline is no number'
+        ) from exc
     if not left_s < MAX_DEADLINE_S:
-        raise _refused(Reason.bad_request, f'at most {MAX_DEADLINE_S} s')
+        raise _refusal_error(Reason.bad_request, f'at most {MAX_DEADLINE_S} s')
     if left_s <= 0:
-        raise _refused(Reason.deadline_past, f'{left_s} s')
+        raise _refusal_error(Reason.deadline_past, f'{left_s} s')
     return left_s
 
 
-def _refused(reason: Reason, detail: str) -> RefusedError:
+def _refusal_error(reason: Reason, detail: str) -> RefusedError:
     return RefusedError(Refusal.of(reason, detail=detail[:_DETAIL_CHARS]))
--- a/packages/gateway/src/tallyhall_gateway/errors.py
+++ b/packages/gateway/src/tallyhall_gateway/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the gateway layer."""
+"""Exceptions of the gateway."""
 
 from __future__ import annotations
 
 
-class CutOffError(Exception):
-    """Raised into the server to end an answer without its proper end."""
+class TruncatedResponseError(Exception):
+    """Makes the server close the connection before the response is complete."""
 
 
 class StreamBrokenError(Exception):
-    """An upstream's answer ended before its end marker."""
+    """The response of an upstream is incomplete or invalid."""
 
 
 class NotSentError(Exception):
-    """Nothing was written to the upstream."""
+    """Nothing was sent to the upstream."""
--- a/packages/gateway/src/tallyhall_gateway/meter.py
+++ b/packages/gateway/src/tallyhall_gateway/meter.py
@@ -1,4 +1,4 @@
-"""How fast the open streams of each upstream go, for reports to owners."""
+"""Measures the decoding rate of each upstream, for reports to owners."""
 
 from __future__ import annotations
 
@@ -17,47 +17,47 @@
 
 
 class StreamMeter:
-    """Counts tokens of decoding streams between two reports."""
+    """Counts the tokens of decoding streams between reports."""
 
     def __init__(self) -> None:
-        """Start with no streams."""
+        """Create a meter without streams."""
         self._lock = threading.Lock()
         self._streams: dict[str, _Stream] = {}
 
-    def first_token(
+    def start_stream(
         self,
         request_id: str,
         service: str,
         upstream: str,
         now: float,
     ) -> None:
-        """Take that a stream begins to decode."""
+        """Record that a stream has started to decode."""
         with self._lock:
             self._streams[request_id] = _Stream(service, upstream, now)
 
     def add(self, request_id: str, tokens: int) -> None:
-        """Count tokens of a decoding stream."""
+        """Add received tokens to a decoding stream."""
         with self._lock:
             stream = self._streams.get(request_id)
             if stream is not None:
                 stream.tokens += tokens
 
     def ended(self, request_id: str) -> None:
-        """Take that a stream has ended."""
+        """Record that a stream has ended."""
         with self._lock:
             self._streams.pop(request_id, None)
 
-    def report(self, now: float, least_s: float) -> tuple[Progress, ...]:
-        """Return a report for each upstream and start counting anew.
+    def report(self, now: float, min_age_s: float) -> tuple[Progress, ...]:
+        """Return the progress of each upstream and reset its counts.
 
-        Streams younger than `least_s` stay for the next report, since a few
-        milliseconds say nothing about a rate.
+        Streams measured for less than `min_age_s` are left for the next report,
+        since a few milliseconds are too short to estimate a rate.
         """
         totals: dict[tuple[str, str], tuple[int, int, float]] = {}
         with self._lock:
             for stream in self._streams.values():
                 open_s = now - stream.since
-                if open_s < least_s:
+                if open_s < min_age_s:
                     continue
                 key = (stream.service, stream.upstream)
                 count, tokens, seconds = totals.get(key, (0, 0, 0))
--- a/packages/gateway/src/tallyhall_gateway/relay.py
+++ b/packages/gateway/src/tallyhall_gateway/relay.py
@@ -1,4 +1,4 @@
-"""Passing a caller's request on to the instance that holds its id."""
+"""Relays requests to the instance that is responsible for their id."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import urllib3
 
 from .calls import Call
-from .errors import CutOffError, NotSentError, StreamBrokenError
+from .errors import NotSentError, StreamBrokenError, TruncatedResponseError
 from .replies import Reply
-from .upstream import BROKEN_ERRORS, UpstreamCall
+from .upstream import RESPONSE_ERRORS, UpstreamConnection
 
 MAX_HOPS = 3
-_PASSED_HEADERS = frozenset(
+_FORWARDED_HEADERS = frozenset(
     (
         'content-type',
         'content-length',
@@ -21,17 +21,18 @@
     )
 )
 _READ_BYTES = 65_536
-_MILLI = 1000
-_GRACE_S = 5.0
+_MS_PER_S = 1000
+_READ_GRACE_S = 5.0
 
 
 def relay(call: Call, request_id: str, http: str) -> Reply:
-    """Return the other instance's answer; raise NotSentError.
+    """Return the response of another instance.
 
-    A relay that breaks later is broken towards the caller as well, who may
-    ask again with the same id.
+    Raises NotSentError if that instance cannot be reached. If the connection
+    fails later, the response to the caller is aborted as well; the caller may
+    then retry with the same id.
     """
-    conn = UpstreamCall(http, call.spec.left_s + _GRACE_S)
+    conn = UpstreamConnection(http, call.spec.left_s + _READ_GRACE_S)
     conn.connect()
     path = call.path
     if call.kind == 'plain':
@@ -45,13 +46,13 @@
         )
     except StreamBrokenError as exc:
         conn.close()
-        raise CutOffError(request_id) from exc
+        raise TruncatedResponseError(request_id) from exc
     passed = tuple(
         (name, text)
         for name, text in resp.headers.items()
-        if name.lower() in _PASSED_HEADERS
+        if name.lower() in _FORWARDED_HEADERS
     )
-    return Reply(resp.status, passed, _body(conn, resp))
+    return Reply(resp.status, passed, _read_body(conn, resp))
 
 
 def _headers(call: Call, request_id: str) -> dict[str, str]:
@@ -59,7 +60,7 @@
         'content-type': call.content_type,
         'x-tallyhall-workspace': call.spec.workspace,
         'x-tallyhall-tier': call.spec.tier,
-        'x-tallyhall-deadline-ms': str(int(call.spec.left_s * _MILLI)),
+        'x-tallyhall-deadline-ms': str(int(call.spec.left_s * _MS_PER_S)),
         'x-tallyhall-idempotent': str(call.spec.idempotent).lower(),
         'x-tallyhall-request-id': request_id,
         'x-tallyhall-hops': str(call.hops + 1),
@@ -69,18 +70,18 @@
     return headers
 
 
-def _body(
-    conn: UpstreamCall,
+def _read_body(
+    conn: UpstreamConnection,
     resp: urllib3.BaseHTTPResponse,
 ) -> Iterator[bytes]:
     try:
         while True:
-            part = resp.read1(_READ_BYTES)
-            if not part:
+            chunk = resp.read1(_READ_BYTES)
+            if not chunk:
                 return
-            yield part
-    except BROKEN_ERRORS as exc:
-        raise CutOffError('relay') from exc
+            yield chunk
+    except RESPONSE_ERRORS as exc:
+        raise TruncatedResponseError('relay') from exc
     finally:
         conn.close()
 
--- a/packages/gateway/src/tallyhall_gateway/replies.py
+++ b/packages/gateway/src/tallyhall_gateway/replies.py
@@ -1,4 +1,4 @@
-"""Answers to callers: refusals, whole answers and event streams."""
+"""Responses to callers: refusals, complete responses and event streams."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 from tallyhall_core.refusals import CATALOGUE, Refusal
 
-from .errors import CutOffError
+from .errors import TruncatedResponseError
 from .sse import StreamEvent
 from .ticket import Ticket
 
 REQUEST_ID_HEADER = 'x-tallyhall-request-id'
 JSON_TYPE = 'application/json'
-_MILLI = 1000
+_MS_PER_S = 1000
 _OK = 200
-_PART_WAIT_S = 3600.0
+_PART_TIMEOUT_S = 3600.0
 
 _STATUS_TEXT = 'Answer'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """One HTTP answer; the body may be produced while it is sent."""
+    """HTTP response; the body may be generated while it is sent."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -32,21 +32,23 @@
 
     @property
     def status_line(self) -> str:
-        """Return the status as WSGI wants it."""
+        """Return the status line in the form that WSGI requires."""
         return f'{self.status} {_STATUS_TEXT}'
 
 
 def json_reply(status: int, content: object) -> Reply:
-    """Return a JSON answer."""
-    return _sized(status, JSON_TYPE, json.dumps(content).encode(), ())
+    """Return a JSON response."""
+    return _fixed_length_reply(
+        status, JSON_TYPE, json.dumps(content).encode(), ()
+    )
 
 
 def refusal_fields(refusal: Refusal, request_id: str) -> dict[str, object]:
-    """Return the JSON object of a refusal."""
+    """Return the JSON object that describes a refusal."""
     row = CATALOGUE[refusal.reason]
     retry_ms = None
     if refusal.retry_after is not None:
-        retry_ms = math.ceil(refusal.retry_after * _MILLI)
+        retry_ms = math.ceil(refusal.retry_after * _MS_PER_S)
     return {
         'code': row.number,
         'reason': str(refusal.reason),
@@ -59,14 +61,14 @@
 
 
 def refusal_reply(refusal: Refusal, request_id: str) -> Reply:
-    """Return a refusal as an HTTP answer."""
+    """Return a refusal as an HTTP response."""
     row = CATALOGUE[refusal.reason]
     headers = [(REQUEST_ID_HEADER, request_id)] if request_id else []
     if refusal.retry_after is not None:
         wait = max(1, math.ceil(refusal.retry_after))
         headers.append(('retry-after', str(wait)))
     body = {'error': refusal_fields(refusal, request_id)}
-    return _sized(
+    return _fixed_length_reply(
         row.status,
         JSON_TYPE,
         json.dumps(body).encode(),
@@ -75,12 +77,12 @@
 
 
 def plain_reply(ticket: Ticket) -> Reply:
-    """Return a whole plain answer."""
-    part = ticket.part(0, _PART_WAIT_S)
+    """Wait for the response of a plain call and return it."""
+    part = ticket.part(0, _PART_TIMEOUT_S)
     head = ticket.head
     if part is None or head is None:
-        return _final_refusal(ticket)
-    return _sized(
+        return _refusal_of(ticket)
+    return _fixed_length_reply(
         head.status,
         head.content_type or 'application/octet-stream',
         part.content,
@@ -88,18 +90,18 @@
     )
 
 
-def whole_reply(ticket: Ticket) -> Reply:
-    """Return a model answer in one piece, once it is complete."""
+def completion_reply(ticket: Ticket) -> Reply:
+    """Wait for a complete model response and return it unstreamed."""
     text = ''
     number = 0
     while True:
-        part = ticket.part(number, _PART_WAIT_S)
+        part = ticket.part(number, _PART_TIMEOUT_S)
         if part is None:
             break
         number += 1
         text += StreamEvent.model_validate_json(part.content).text
     if not ticket.is_complete:
-        return _final_refusal(ticket)
+        return _refusal_of(ticket)
     usage = ticket.usage
     body = {
         'id': ticket.id,
@@ -116,7 +118,7 @@
             'prompt_tokens_details': {'cached_tokens': usage.cached_tokens},
         },
     }
-    return _sized(
+    return _fixed_length_reply(
         _OK,
         JSON_TYPE,
         json.dumps(body).encode(),
@@ -125,7 +127,7 @@
 
 
 def stream_reply(ticket: Ticket) -> Reply:
-    """Return a model answer as server-sent events."""
+    """Return a model response as server-sent events."""
     return Reply(
         _OK,
         (
@@ -140,7 +142,7 @@
 def _events(ticket: Ticket) -> Iterator[bytes]:
     number = 0
     while True:
-        part = ticket.part(number, _PART_WAIT_S)
+        part = ticket.part(number, _PART_TIMEOUT_S)
         if part is None:
             break
         number += 1
@@ -152,18 +154,18 @@
     if refusal is not None:
         fields = json.dumps(refusal_fields(refusal, ticket.id))
         yield f'event: error\ndata: {fields}\n\n'.encode()
-    # The server then closes without the last chunk, so that no client can
-    # take the short answer for a whole one.
-    raise CutOffError(ticket.id)
+    # The server then closes the connection without sending the last chunk, so
+    # that clients can't mistake the truncated response for a complete one.
+    raise TruncatedResponseError(ticket.id)
 
 
-def _final_refusal(ticket: Ticket) -> Reply:
+def _refusal_of(ticket: Ticket) -> Reply:
     if ticket.refusal is None:
-        raise CutOffError(ticket.id)
+        raise TruncatedResponseError(ticket.id)
     return refusal_reply(ticket.refusal, ticket.id)
 
 
-def _sized(
+def _fixed_length_reply(
     status: int,
     content_type: str,
     content: bytes,
--- a/packages/gateway/src/tallyhall_gateway/runner.py
+++ b/packages/gateway/src/tallyhall_gateway/runner.py
@@ -1,9 +1,9 @@
-"""One run: the dispatch of a request to its upstream, in its own thread.
+"""A run: dispatches one request to its upstream, in a thread of its own.
 
-The permit is checked after the connection stands and before the first byte,
-so a permit that lay too long is never used. From the first byte on the
-request stays with this upstream: a broken stream is resumed there from the
-last good event.
+The permit is checked after the connection is established and before the first
+byte is sent, so that an expired permit is never used. Once the first byte has
+been sent, the request stays with this upstream: an interrupted stream is
+resumed there after the last valid event.
 """
 
 from __future__ import annotations
@@ -20,12 +20,17 @@
 from .errors import NotSentError, StreamBrokenError
 from .meter import StreamMeter
 from .sse import OrderCheck, StreamEvent, read_events
-from .ticket import Head, Part, Ticket, Usage
-from .upstream import UpstreamCall, cancel_stream, read_whole, refuses
+from .ticket import Part, ResponseHead, Ticket, Usage
+from .upstream import (
+    UpstreamConnection,
+    cancel_stream,
+    read_body,
+    refuses_connections,
+)
 
 _OK = 200
 _NOT_FOUND = 404
-_RESUMES = 3
+_MAX_RESUMES = 3
 _RESUME_PAUSE_S = 0.1
 REQUEST_ID_HEADER = 'x-request-id'
 
@@ -37,7 +42,7 @@
 
 
 class Run:
-    """A dispatch under way."""
+    """Dispatch of one request to an upstream."""
 
     def __init__(
         self,
@@ -47,7 +52,7 @@
         meter: StreamMeter,
         deadline: float,
     ) -> None:
-        """Prepare; `deadline` bounds every read, on the monotonic clock."""
+        """Create a run whose reads end at `deadline` (monotonic clock)."""
         self.start = start
         self.call = call
         self.ticket = ticket
@@ -55,20 +60,21 @@
         self._deadline = deadline
         self._cancelled = threading.Event()
         self._lock = threading.Lock()
-        self._conn: UpstreamCall | None = None
+        self._conn: UpstreamConnection | None = None
         self._timing = _Timing(time.monotonic())
-        self._check = OrderCheck(start.id)
+        self._order_check = OrderCheck(start.id)
         self._usage = Usage(0, 0, 0)
-        self._has_last = False
+        self._received_last = False
 
-    def execute(self, on_sent: Callable[[StartRun], None]) -> RunResult:
-        """Run to the end and return how it ended; never raises.
+    def execute(self, before_send: Callable[[StartRun], None]) -> RunResult:
+        """Execute the run and return its result.
 
-        `on_sent` is called right before the first byte is written.
+        `before_send` is called right before the first byte is sent. Failures of
+        the upstream are returned as outcomes, not raised.
         """
         self._timing.started = time.monotonic()
         try:
-            outcome = self._run(on_sent)
+            outcome = self._run(before_send)
         except NotSentError:
             outcome = Outcome.not_sent
         except StreamBrokenError:
@@ -79,28 +85,30 @@
             outcome = Outcome.stopped
             if self.call.kind == 'model':
                 cancel_stream(self.start.address, self.start.id)
-        return self._result(outcome, ended=self._has_ended(outcome))
+        return self._result(
+            outcome, ended=self._has_upstream_terminated(outcome)
+        )
 
     def cancel(self) -> None:
-        """Stop the run from another thread."""
+        """Stop the run; called from another thread."""
         self._cancelled.set()
         with self._lock:
             conn = self._conn
         if conn is not None:
-            conn.cut()
+            conn.abort()
 
     # -- internals
 
-    def _run(self, on_sent: Callable[[StartRun], None]) -> Outcome:
+    def _run(self, before_send: Callable[[StartRun], None]) -> Outcome:
         if self.start.resume:
             return self._resume()
         with contextlib.closing(self._open()) as conn:
             conn.connect()
             if time.monotonic() >= self.start.until:
-                raise NotSentError('the permit lay too long')
+                raise NotSentError('the permit has expired')
             if self._cancelled.is_set():
                 raise NotSentError('cancelled')
-            on_sent(self.start)
+            before_send(self.start)
             if self.call.kind == 'plain':
                 return self._run_plain(conn)
             outcome = self._run_model(conn)
@@ -108,22 +116,22 @@
             return outcome
         return self._resume()
 
-    def _run_plain(self, conn: UpstreamCall) -> Outcome:
+    def _run_plain(self, conn: UpstreamConnection) -> Outcome:
         resp = conn.exchange(
             self.call.method,
             self.call.path,
             self.call.body,
             self._headers(),
         )
-        content = read_whole(resp)
+        content = read_body(resp)
         content_type = resp.headers.get('content-type', '')
-        self.ticket.head = Head(resp.status, content_type)
+        self.ticket.head = ResponseHead(resp.status, content_type)
         self.ticket.add(Part(content))
         self.ticket.complete(Usage(0, 0, 0), time.monotonic())
         return Outcome.complete
 
-    def _run_model(self, conn: UpstreamCall) -> Outcome | None:
-        """Return the outcome, or None where the stream is to be resumed."""
+    def _run_model(self, conn: UpstreamConnection) -> Outcome | None:
+        """Return the outcome, or None if the stream has to be resumed."""
         try:
             resp = conn.exchange(
                 'POST',
@@ -139,12 +147,12 @@
         return Outcome.complete
 
     def _resume(self) -> Outcome:
-        """Read on from the last good event, on the same upstream.
+        """Resume the stream after the last valid event, on the same upstream.
 
-        An engine that has sent nothing yet may hear of the resume before it
-        has read the request itself, so its "not found" is asked again.
+        The request to resume may overtake the original request. Therefore a
+        404 response is retried as long as no event has been received.
         """
-        for _ in range(_RESUMES):
+        for _ in range(_MAX_RESUMES):
             if self._cancelled.is_set():
                 return Outcome.stopped
             if time.monotonic() >= self._deadline:
@@ -157,11 +165,11 @@
 
     def _resume_once(self) -> Outcome | None:
         conn = self._open()
-        path = f'/v1/streams/{self.start.id}?from={self._check.expected}'
+        path = f'/v1/streams/{self.start.id}?from={self._order_check.expected}'
         try:
             conn.connect()
             resp = conn.exchange('GET', path, b'', {})
-            if resp.status == _NOT_FOUND and self._check.expected:
+            if resp.status == _NOT_FOUND and self._order_check.expected:
                 return Outcome.broken
             if resp.status != _OK:
                 return None
@@ -173,22 +181,22 @@
         return Outcome.complete
 
     def _read_stream(self, events: Iterator[StreamEvent]) -> None:
-        """Pass events on until the end marker; raise StreamBrokenError."""
+        """Forward events up to the end marker; raise StreamBrokenError."""
         for event in events:
-            if not self._check.accept(event):
+            if not self._order_check.accept(event):
                 continue
-            # The end marker may come in a later connection than this event.
-            self._has_last = event.is_last
-            self._pass_on(event)
-        if not self._has_last:
-            raise StreamBrokenError('no last event before the end marker')
+            # The end marker may be received on a later connection.
+            self._received_last = event.is_last
+            self._forward(event)
+        if not self._received_last:
+            raise StreamBrokenError('end marker without a preceding last event')
         self.ticket.complete(self._usage, time.monotonic())
 
-    def _pass_on(self, event: StreamEvent) -> None:
+    def _forward(self, event: StreamEvent) -> None:
         now = time.monotonic()
         if event.tokens and not self._timing.first:
             self._timing.first = now
-            self._meter.first_token(
+            self._meter.start_stream(
                 self.start.id,
                 self.call.spec.service,
                 self.start.upstream,
@@ -205,14 +213,14 @@
             )
         self.ticket.add(Part(event.model_dump_json().encode(), event.tokens))
 
-    def _open(self) -> UpstreamCall:
+    def _open(self) -> UpstreamConnection:
         left = max(0.1, self._deadline - time.monotonic())
-        conn = UpstreamCall(self.start.address, left)
+        conn = UpstreamConnection(self.start.address, left)
         with self._lock:
             self._conn = conn
         if self._cancelled.is_set():
-            # The cancellation may have cut the connection before this one.
-            conn.cut()
+            # The cancellation may have aborted only the previous connection.
+            conn.abort()
         return conn
 
     def _headers(self) -> dict[str, str]:
@@ -221,9 +229,11 @@
             headers['content-type'] = self.call.content_type
         return headers
 
-    def _has_ended(self, outcome: Outcome) -> bool:
-        """Return whether the upstream of a run that broke has ended."""
-        return outcome == Outcome.broken and refuses(self.start.address)
+    def _has_upstream_terminated(self, outcome: Outcome) -> bool:
+        """Return whether the run failed because its upstream terminated."""
+        return outcome == Outcome.broken and refuses_connections(
+            self.start.address
+        )
 
     def _result(self, outcome: Outcome, *, ended: bool) -> RunResult:
         now = time.monotonic()
@@ -237,6 +247,6 @@
             prompt_tokens=self._usage.prompt_tokens,
             cached_tokens=self._usage.cached_tokens,
             output_tokens=self._usage.output_tokens,
-            shown=self.ticket.is_shown,
+            shown=self.ticket.has_output,
             ended=ended,
         )
--- a/packages/gateway/src/tallyhall_gateway/sse.py
+++ b/packages/gateway/src/tallyhall_gateway/sse.py
@@ -1,9 +1,9 @@
-"""Reading an engine's server-sent events, with their order checked.
+"""Reads an engine's server-sent events and checks their sequence.
 
-Every event names the request and its sequence number. An event of another
-request breaks the stream, a repeated one is dropped, a gap breaks it so that
-it is resumed from the last good event. Only the end marker makes an answer
-whole.
+Each event carries the id of its request and a sequence number. A duplicate
+event is dropped. An event of another request or a gap in the sequence is an
+error, after which the stream is resumed after the last valid event. A response
+is complete only if its end marker was received.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 import urllib3
 
 from .errors import StreamBrokenError
-from .upstream import BROKEN_ERRORS
+from .upstream import RESPONSE_ERRORS
 
-_DATA_LINE = b'data: '
+_DATA_PREFIX = b'data: '
 _DONE = b'[DONE]'
 _READ_BYTES = 65_536
 
 
 class PromptDetails(pydantic.BaseModel):
-    """The part of `usage` that tells of cached prompt tokens."""
+    """The `prompt_tokens_details` object of `usage`."""
 
     cached_tokens: int = 0
 
 
 class UsageBody(pydantic.BaseModel):
-    """The `usage` object of a last event."""
+    """The `usage` object of the last event."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -36,7 +36,7 @@
 
 
 class Delta(pydantic.BaseModel):
-    """A piece of a chat answer."""
+    """Text that an event adds to a chat response."""
 
     content: str = ''
 
@@ -50,7 +50,7 @@
 
 
 class StreamEvent(pydantic.BaseModel):
-    """One event of an engine's stream. tokens: number of tokens in it."""
+    """An event of an engine's stream, with its number of tokens."""
 
     id: str
     seq: int
@@ -60,7 +60,7 @@
 
     @property
     def is_last(self) -> bool:
-        """Return whether the engine finished the answer with this event."""
+        """Return whether the engine finished the response with this event."""
         return any(choice.finish_reason for choice in self.choices)
 
     @property
@@ -72,19 +72,22 @@
 
 
 class OrderCheck:
-    """Tells for each event whether it is the next of this request."""
+    """Checks that events belong to a request and are in sequence."""
 
     def __init__(self, request_id: str) -> None:
-        """Expect event 0 of this request."""
+        """Expect event 0 of the request first."""
         self.expected = 0
         self._id = request_id
 
     def accept(self, event: StreamEvent) -> bool:
-        """Return whether the event is new; raise if the stream is wrong."""
+        """Return True for the next event and False for a duplicate.
+
+        Raises StreamBrokenError for any other event.
+        """
         if event.id != self._id:
-            raise StreamBrokenError('an event of another request')
+            raise StreamBrokenError('received an event of another request')
         if event.seq > self.expected:
-            raise StreamBrokenError(f'gap before event {event.seq}')
+            raise StreamBrokenError(f'events missing before event {event.seq}')
         if event.seq < self.expected:
             return False
         self.expected += 1
@@ -92,18 +95,21 @@
 
 
 def read_events(resp: urllib3.BaseHTTPResponse) -> Iterator[StreamEvent]:
-    """Yield events up to the end marker; raise StreamBrokenError before."""
+    """Yield events up to the end marker.
+
+    Raises StreamBrokenError if the stream ends before it.
+    """
     pending = b''
     while True:
-        part = _read(resp)
-        if not part:
-            raise StreamBrokenError('ended without an end marker')
-        pending += part
+        chunk = _read(resp)
+        if not chunk:
+            raise StreamBrokenError('stream ended without an end marker')
+        pending += chunk
         *lines, pending = pending.split(b'\n')
         for line in lines:
-            if not line.startswith(_DATA_LINE):
+            if not line.startswith(_DATA_PREFIX):
                 continue
-            payload = line[len(_DATA_LINE) :].strip()
+            payload = line[len(_DATA_PREFIX) :].strip()
             if payload == _DONE:
                 return
             yield _parse(payload)
@@ -112,7 +118,7 @@
 def _read(resp: urllib3.BaseHTTPResponse) -> bytes:
     try:
         return resp.read1(_READ_BYTES)
-    except BROKEN_ERRORS as exc:
+    except RESPONSE_ERRORS as exc:
         raise StreamBrokenError(str(exc)) from exc
 
 
@@ -120,4 +126,4 @@
     try:
         return StreamEvent.model_validate_json(payload)
     except pydantic.ValidationError as exc:
-        raise StreamBrokenError('an event that cannot be read') from exc
+        raise StreamBrokenError('invalid event') from exc
--- a/packages/gateway/src/tallyhall_gateway/ticket.py
+++ b/packages/gateway/src/tallyhall_gateway/ticket.py
@@ -1,8 +1,8 @@
-"""The answer to one request, between the thread that reads it from the
-upstream and the threads of the callers that wait for it.
+"""Buffer for the response to one request.
 
-Parts are kept, so that a caller that lost its connection gets the whole
-answer again when it comes back with the same id.
+The thread that reads from the upstream fills it; the threads that serve
+callers wait on it. Parts are kept, so that a caller that lost its connection
+receives the complete response if it retries with the same id.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Head:
-    """Status and headers of a plain answer, known before its parts."""
+class ResponseHead:
+    """Status and content type of a plain response."""
 
     status: int
     content_type: str
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """One piece of an answer. tokens: number of tokens in it."""
+    """Part of a response, with its number of tokens."""
 
     content: bytes
     tokens: int = 0
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """Token counts of a complete model answer."""
+    """Token counts of a complete model response."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -40,83 +40,86 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """The answer is to be had from another instance."""
+    """The instance from which the response has to be fetched."""
 
     instance: str
     http: str
 
 
 class Ticket:
-    """The growing answer; final once `refusal` or `is_complete` is set."""
+    """Thread-safe response buffer.
+
+    It is final once `refusal` or `is_complete` is set.
+    """
 
     def __init__(self, request_id: str, now: float) -> None:
-        """Start without any part."""
+        """Create an empty buffer."""
         self.id = request_id
-        self.head: Head | None = None
+        self.head: ResponseHead | None = None
         self.usage = Usage(0, 0, 0)
         self.refusal: Refusal | None = None
         self.relay: Relay | None = None
         self.is_complete = False
         self.readers = 0
-        self.changed = now
+        self.changed_at = now
         self._parts: list[Part] = []
         self._cond = threading.Condition()
 
     @property
     def is_final(self) -> bool:
-        """Return whether nothing more will come."""
+        """Return whether the response can no longer change."""
         return self.is_complete or self.refusal is not None
 
     @property
     def may_run_again(self) -> bool:
-        """Return whether the request surely has not run and will not."""
+        """Return whether the request was refused without being executed."""
         refusal = self.refusal
         return refusal is not None and refusal.executed == Executed.no
 
     @property
-    def is_shown(self) -> bool:
-        """Return whether any of the answer may have reached a caller."""
+    def has_output(self) -> bool:
+        """Return whether a caller may have received any of the response."""
         return self.head is not None or bool(self._parts)
 
     def add(self, part: Part) -> None:
-        """Append a part, unless the answer is final."""
+        """Append a part, unless the response is final."""
         with self._cond:
             if not self.is_final:
                 self._parts.append(part)
             self._cond.notify_all()
 
     def complete(self, usage: Usage, now: float) -> bool:
-        """Mark the answer whole; return whether it was not final yet."""
+        """Mark the response as complete; return False if it was final."""
         with self._cond:
             if self.is_final:
                 return False
             self.usage = usage
             self.is_complete = True
-            self.changed = now
+            self.changed_at = now
             self._cond.notify_all()
             return True
 
     def refuse(self, refusal: Refusal, now: float) -> None:
-        """Give the final refusal, unless the answer is final."""
+        """Set the refusal, unless the response is final."""
         with self._cond:
             if not self.is_final:
                 self.refusal = refusal
-                self.changed = now
+                self.changed_at = now
             self._cond.notify_all()
 
     def send_to(self, relay: Relay | None) -> None:
-        """Say where the answer is to be had; None takes it back."""
+        """Set the instance to relay to; None clears it."""
         with self._cond:
             self.relay = relay
             self._cond.notify_all()
 
-    def wait_first(self, timeout_s: float) -> None:
-        """Wait for a part, a relay or the end."""
+    def wait_for_update(self, timeout_s: float) -> None:
+        """Wait for a part, a relay target or the end of the response."""
         with self._cond:
-            self._cond.wait_for(self._has_news, timeout_s)
+            self._cond.wait_for(self._has_update, timeout_s)
 
     def part(self, number: int, timeout_s: float) -> Part | None:
-        """Return the part of this number; None at the end or on timeout."""
+        """Wait for a part by index; return None at the end or on timeout."""
         with self._cond:
             self._cond.wait_for(
                 lambda: len(self._parts) > number or self.is_final,
@@ -126,17 +129,17 @@
                 return self._parts[number]
             return None
 
-    def attach(self, now: float) -> None:
-        """Count a caller that reads."""
+    def add_reader(self, now: float) -> None:
+        """Register a caller that reads the response."""
         with self._cond:
             self.readers += 1
-            self.changed = now
+            self.changed_at = now
 
-    def detach(self, now: float) -> None:
-        """Count a caller that reads no more."""
+    def remove_reader(self, now: float) -> None:
+        """Unregister a caller that has stopped reading."""
         with self._cond:
             self.readers -= 1
-            self.changed = now
+            self.changed_at = now
 
-    def _has_news(self) -> bool:
+    def _has_update(self) -> bool:
         return bool(self._parts) or self.is_final or self.relay is not None
--- a/packages/gateway/src/tallyhall_gateway/tickets.py
+++ b/packages/gateway/src/tallyhall_gateway/tickets.py
@@ -1,4 +1,4 @@
-"""All tickets of an instance, by request id and by idempotency key."""
+"""Tickets of an instance, by request id and by idempotency key."""
 
 from __future__ import annotations
 
@@ -8,11 +8,13 @@
 
 
 class Tickets:
-    """Thread-safe store; finished tickets are kept for a while."""
+    """Thread-safe store of tickets; final ones expire after a time."""
 
     def __init__(self, keep_s: float, abandon_s: float) -> None:
-        """Keep finished answers `keep_s`; a running one without any reader
-        for `abandon_s` counts as abandoned.
+        """Create an empty store.
+
+        Final tickets are kept for `keep_s`. A running request that has had no
+        reader for `abandon_s` counts as abandoned.
         """
         self._keep_s = keep_s
         self._abandon_s = abandon_s
@@ -21,11 +23,11 @@
         self._aliases: dict[tuple[str, str], str] = {}
 
     def get(self, request_id: str) -> Ticket | None:
-        """Return the ticket of an id."""
+        """Return the ticket of a request id, or None."""
         return self._tickets.get(request_id)
 
     def open(self, request_id: str, now: float) -> Ticket:
-        """Return the ticket of an id, a new one if there is none."""
+        """Return the ticket of a request id; create it if necessary."""
         with self._lock:
             ticket = self._tickets.get(request_id)
             if ticket is None:
@@ -34,36 +36,36 @@
             return ticket
 
     def reopen(self, request_id: str, now: float) -> Ticket:
-        """Return a new ticket in place of a final one."""
+        """Replace the ticket of a request id by a new one."""
         with self._lock:
             ticket = Ticket(request_id, now)
             self._tickets[request_id] = ticket
             return ticket
 
     def alias(self, workspace: str, key: str, request_id: str) -> None:
-        """Bind a caller's own key to an id."""
+        """Map an idempotency key of a workspace to a request id."""
         with self._lock:
             self._aliases[(workspace, key)] = request_id
 
     def aliased(self, workspace: str, key: str) -> str:
-        """Return the id that a caller's own key is bound to, or nothing."""
+        """Return the request id of an idempotency key, or an empty string."""
         return self._aliases.get((workspace, key), '')
 
     def abandoned(self, now: float) -> list[str]:
-        """Return ids that run with nobody reading for too long."""
+        """Return the ids of running requests whose callers have left."""
         return [
             ticket.id
             for ticket in list(self._tickets.values())
             if not ticket.is_final
             and ticket.readers == 0
-            and now - ticket.changed > self._abandon_s
+            and now - ticket.changed_at > self._abandon_s
         ]
 
     def forget(self, now: float) -> None:
-        """Drop final answers that are old enough."""
+        """Remove expired tickets and their idempotency keys."""
         with self._lock:
             for request_id, ticket in list(self._tickets.items()):
-                old = now - ticket.changed > self._keep_s
+                old = now - ticket.changed_at > self._keep_s
                 if ticket.is_final and not ticket.readers and old:
                     self._tickets.pop(request_id)
             kept = self._tickets.keys()
--- a/packages/gateway/src/tallyhall_gateway/upstream.py
+++ b/packages/gateway/src/tallyhall_gateway/upstream.py
@@ -1,9 +1,9 @@
 """Connections to upstreams.
 
-Each dispatch has a connection of its own, made before anything is written:
-a reused one can be found dead only after the request went out, and then
-nobody knows whether it ran. What fails up to `connect` was not sent;
-whatever fails later may have run.
+Each dispatch opens a new connection before it sends anything. Connections
+aren't reused, since a stale one is detected only after the request was sent,
+when it is unknown whether the request was executed. If `connect` fails, nothing
+was sent; after any later failure the request may have been executed.
 """
 
 from __future__ import annotations
@@ -18,15 +18,17 @@
 
 from .errors import NotSentError, StreamBrokenError
 
-_CONNECT_S = 1.0
-_CONTROL_S = 1.0
-# An upstream that runs accepts at once; the caller waits for the answer.
-_LOOK_S = 0.2
-_NO_BODY = frozenset((204, 304))
+_CONNECT_TIMEOUT_S = 1.0
+_CANCEL_TIMEOUT_S = 1.0
+# Short, since a running upstream accepts connections immediately and the
+# caller is waiting for its response.
+_PROBE_TIMEOUT_S = 0.2
+_BODILESS_STATUSES = frozenset((204, 304))
 MAX_PLAIN_BYTES = 16_000_000
 
-# A connection outside a pool lets the standard library's errors through.
-BROKEN_ERRORS = (
+# urllib3 connections used without a pool also raise errors of the standard
+# library.
+RESPONSE_ERRORS = (
     urllib3.exceptions.HTTPError,
     HTTPException,
     OSError,
@@ -34,34 +36,34 @@
 )
 
 
-class UpstreamCall:
-    """One connection to one upstream, which another thread may cut."""
+class UpstreamConnection:
+    """Connection to an upstream that another thread can abort."""
 
     def __init__(self, address: str, read_s: float) -> None:
-        """Prepare; nothing is opened yet. Reads wait at most `read_s`."""
+        """Set the address and read timeout; `connect` opens the connection."""
         host, _, port = address.rpartition(':')
         self._conn = HTTPConnection(
             host,
             int(port),
-            timeout=urllib3.Timeout(connect=_CONNECT_S).connect_timeout,
+            timeout=urllib3.Timeout(connect=_CONNECT_TIMEOUT_S).connect_timeout,
         )
         self._read_s = read_s
         self._lock = threading.Lock()
-        self._cut = False
+        self._is_aborted = False
         self._sock: socket.socket | None = None
 
     def connect(self) -> None:
-        """Open the connection; raise NotSentError."""
+        """Open the connection; raise NotSentError if that fails."""
         try:
             self._conn.connect()
         except (urllib3.exceptions.HTTPError, OSError) as exc:
             raise NotSentError(str(exc)) from exc
         with self._lock:
-            # The standard library's connection gives its socket away to an
-            # answer that ends with the connection, as every stream does; a
-            # cut must still reach it.
+            # http.client hands its socket over to a response that ends when
+            # the connection closes, as every stream does. Keep a reference
+            # so that the connection can still be aborted.
             self._sock = self._conn.sock
-            if self._cut:
+            if self._is_aborted:
                 raise NotSentError('cancelled')
         self._conn.timeout = self._read_s
         if self._sock is not None:
@@ -74,7 +76,10 @@
         body: bytes,
         headers: dict[str, str],
     ) -> urllib3.BaseHTTPResponse:
-        """Write the request and read the head; raise StreamBrokenError."""
+        """Send the request and read the head of the response.
+
+        Raises StreamBrokenError if that fails.
+        """
         try:
             self._conn.request(
                 method,
@@ -84,21 +89,21 @@
                 preload_content=False,
             )
             return self._conn.getresponse()
-        except BROKEN_ERRORS as exc:
+        except RESPONSE_ERRORS as exc:
             raise StreamBrokenError(str(exc)) from exc
 
-    def cut(self) -> None:
-        """End the connection from another thread."""
+    def abort(self) -> None:
+        """Abort the connection; called from another thread."""
         with self._lock:
-            self._cut = True
-        self._shut()
+            self._is_aborted = True
+        self._shut_down_socket()
 
     def close(self) -> None:
-        """Close the connection; nothing is kept for reuse."""
-        self._shut()
+        """Close the connection."""
+        self._shut_down_socket()
         self._conn.close()
 
-    def _shut(self) -> None:
+    def _shut_down_socket(self) -> None:
         with self._lock:
             sock = self._sock
         if sock is None:
@@ -108,22 +113,23 @@
 
 
 def cancel_stream(address: str, request_id: str) -> None:
-    """Tell an engine to stop a stream; it does not matter if it fails."""
-    call = UpstreamCall(address, _CONTROL_S)
+    """Tell an engine to stop a stream; failures are ignored."""
+    conn = UpstreamConnection(address, _CANCEL_TIMEOUT_S)
     with contextlib.suppress(NotSentError, StreamBrokenError):
-        call.connect()
-        call.exchange('DELETE', f'/v1/streams/{request_id}', b'', {})
-    call.close()
+        conn.connect()
+        conn.exchange('DELETE', f'/v1/streams/{request_id}', b'', {})
+    conn.close()
 
 
-def refuses(address: str) -> bool:
-    """Return whether nothing listens at an address.
+def refuses_connections(address: str) -> bool:
+    """Return whether an address refuses connections.
 
-    One that accepts, or is silent, may still be at work.
+    An upstream that accepts connections or does not respond may still be
+    running.
     """
     host, _, port = address.rpartition(':')
     try:
-        socket.create_connection((host, int(port)), _LOOK_S).close()
+        socket.create_connection((host, int(port)), _PROBE_TIMEOUT_S).close()
     except ConnectionRefusedError:
         return True
     except OSError:
@@ -131,26 +137,30 @@
     return False
 
 
-def read_whole(resp: urllib3.BaseHTTPResponse) -> bytes:
-    """Return a whole plain answer; raise StreamBrokenError if it is short."""
+def read_body(resp: urllib3.BaseHTTPResponse) -> bytes:
+    """Return the body of a plain response.
+
+    Raises StreamBrokenError if it is incomplete or too large.
+    """
     try:
         raw = resp.read(MAX_PLAIN_BYTES + 1)
         if len(raw) > MAX_PLAIN_BYTES:
-            raise StreamBrokenError('answer too large')
-        # A body of unknown length is whole only if the read reached its end.
+            raise StreamBrokenError('response is too large')
+        # A body of unknown length is complete only once a read reached its end.
         rest = resp.read()
-    except BROKEN_ERRORS as exc:
+    except RESPONSE_ERRORS as exc:
         raise StreamBrokenError(str(exc)) from exc
     whole = raw + rest
     if not _is_delimited(resp, len(whole)):
-        raise StreamBrokenError('an answer without length or end marker')
+        raise StreamBrokenError('response is incomplete or has no length')
     return whole
 
 
 def _is_delimited(resp: urllib3.BaseHTTPResponse, length: int) -> bool:
-    # Without a length and without chunks, a cut looks like the end; and a cut
-    # within the headers leaves a length that is empty or too small.
-    if resp.status in _NO_BODY:
+    # Without a length or chunks, an aborted connection looks like the end of
+    # the body. If it was aborted within the headers, the length is empty or
+    # too small.
+    if resp.status in _BODILESS_STATUSES:
         return True
     headers = resp.headers
     if 'chunked' in headers.get('transfer-encoding', '').lower():
--- a/tests/unit/gateway.py
+++ b/tests/unit/gateway.py
@@ -1,4 +1,4 @@
-"""A run of the gateway against a stand-in engine in this process."""
+"""Helpers that run the gateway against a stand-in engine in this process."""
 
 import threading
 import time
@@ -27,13 +27,13 @@
 def start_engine(
     speed: EngineSpeed = _FAST,
 ) -> tuple[EngineStandIn, str]:
-    """Serve an engine from threads of this process; return its address."""
+    """Start a stand-in engine in this process; return it and its address."""
     engine = EngineStandIn(EngineConfig('engine-1', speed))
     return engine, serve(engine.handle)
 
 
 def serve(respond: RequestHandler) -> str:
-    """Serve from threads of this process; return its address."""
+    """Start an HTTP server in threads of this process; return its address."""
     port = free_ports(1)[0]
     server = create_server(
         wsgi(respond),
@@ -46,13 +46,13 @@
 
 
 def run_once(number: int, address: str) -> tuple[Outcome, Ticket]:
-    """Dispatch one request and return how it ended, with its answer."""
+    """Dispatch one request and return its outcome and its ticket."""
     run = make_run(number, address)
     return run.execute(lambda start: None).outcome, run.ticket
 
 
 def make_run(number: int, address: str) -> Run:
-    """Return the dispatch of one request, not yet begun."""
+    """Return a run that has not been started."""
     rid = build.ask(number).id
     raw = (
         f'{{"model": "ledger", "prompt": "{PROMPT}", '
@@ -72,7 +72,7 @@
 
 
 def text_of(ticket: Ticket) -> str:
-    """Return the text that a caller would get."""
+    """Return the text that a caller would receive."""
     texts = []
     part = ticket.part(0, 0)
     while part is not None:
@@ -82,5 +82,5 @@
 
 
 def whole_text() -> str:
-    """Return the only right answer."""
+    """Return the expected text of the complete response."""
     return expected_answer(PROMPT, MAX_TOKENS)
--- a/tests/unit/test_calls.py
+++ b/tests/unit/test_calls.py
@@ -1,4 +1,4 @@
-"""What callers may get wrong: each a typed refusal that says it was not run."""
+"""Invalid requests are refused with a reason and as not executed."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 from tests.unit import admission as build
 
-_GOOD = '{"model": "ledger", "prompt": "hello", "max_tokens": 5}'
+_VALID_BODY = '{"model": "ledger", "prompt": "hello", "max_tokens": 5}'
 
 
 def _headers(**changed: str) -> CallerHeaders:
@@ -43,19 +43,19 @@
             {},
             Reason.bad_request,
         ),
-        (_GOOD, {'workspace': 'nobody'}, Reason.unknown_workspace),
-        (_GOOD, {'workspace': ''}, Reason.unknown_workspace),
-        (_GOOD, {'tier': 'gold'}, Reason.unknown_tier),
+        (_VALID_BODY, {'workspace': 'nobody'}, Reason.unknown_workspace),
+        (_VALID_BODY, {'workspace': ''}, Reason.unknown_workspace),
+        (_VALID_BODY, {'tier': 'gold'}, Reason.unknown_tier),
         ('{"model": "x", "prompt": "x"}', {}, Reason.unknown_service),
-        (_GOOD, {'deadline_ms': '-5'}, Reason.deadline_past),
-        (_GOOD, {'deadline_ms': '0'}, Reason.deadline_past),
-        (_GOOD, {'deadline_ms': 'soon'}, Reason.bad_request),
-        (_GOOD, {'deadline_ms': 'nan'}, Reason.bad_request),
-        (_GOOD, {'deadline_ms': '1e12'}, Reason.bad_request),
-        (_GOOD, {'request_id': 'mine'}, Reason.bad_request_id),
+        (_VALID_BODY, {'deadline_ms': '-5'}, Reason.deadline_past),
+        (_VALID_BODY, {'deadline_ms': '0'}, Reason.deadline_past),
+        (_VALID_BODY, {'deadline_ms': 'soon'}, Reason.bad_request),
+        (_VALID_BODY, {'deadline_ms': 'nan'}, Reason.bad_request),
+        (_VALID_BODY, {'deadline_ms': '1e12'}, Reason.bad_request),
+        (_VALID_BODY, {'request_id': 'mine'}, Reason.bad_request_id),
     ],
 )
-def test_refused_as_not_run(
+def test_invalid_request_is_refused_as_not_executed(
     body: str,
     changed: dict[str, str],
     reason: Reason,
@@ -71,7 +71,7 @@
     assert caught.value.refusal.executed == Executed.no
 
 
-def test_a_plain_call_to_a_model_service_is_refused() -> None:
+def test_plain_call_to_model_service_is_refused() -> None:
     with pytest.raises(RefusedError) as caught:
         plain_call(
             {'REQUEST_METHOD': 'GET'},
@@ -88,10 +88,12 @@
     ('changed', 'left_s'),
     [({}, 10), ({'deadline_ms': '1500'}, 1.5)],
 )
-def test_deadline(changed: dict[str, str], left_s: float) -> None:
+def test_deadline_and_upstream_body(
+    changed: dict[str, str], left_s: float
+) -> None:
     call = model_call(
         '/v1/completions',
-        _GOOD.encode(),
+        _VALID_BODY.encode(),
         _headers(**changed),
         build.table(),
     )
@@ -101,7 +103,7 @@
     assert sent['max_tokens'] == 5
 
 
-def test_prefixes_are_shared_as_far_as_the_text_is() -> None:
+def test_equal_text_prefixes_have_equal_hashes() -> None:
     shared = 'a' * 600
     first = prefix_hashes(f'{shared}{"b" * 300}')
     second = prefix_hashes(f'{shared}{"c" * 300}')
--- a/tests/unit/test_tickets.py
+++ b/tests/unit/test_tickets.py
@@ -1,4 +1,4 @@
-"""Kept answers: whole again for whoever comes back, forgotten in time."""
+"""Tickets become final once, expire, and are found by idempotency key."""
 
 from tallyhall_core.refusals import Reason, Refusal
 from tallyhall_gateway.ticket import Part, Ticket, Usage
@@ -7,7 +7,7 @@
 _NO_USAGE = Usage(0, 0, 0)
 
 
-def test_an_answer_is_final_once() -> None:
+def test_ticket_becomes_final_only_once() -> None:
     ticket = Ticket('a', 0)
     ticket.add(Part(b'one'))
     assert ticket.complete(_NO_USAGE, 1)
@@ -18,7 +18,7 @@
     assert ticket.part(1, 0) is None
 
 
-def test_what_was_not_run_may_run_again_under_the_same_key() -> None:
+def test_only_unexecuted_requests_may_run_again() -> None:
     for reason, again in (
         (Reason.shed, True),
         (Reason.upstream_broken, False),
@@ -29,15 +29,15 @@
         assert ticket.may_run_again is again
 
 
-def test_forgotten_and_abandoned() -> None:
+def test_expired_and_abandoned_tickets() -> None:
     tickets = Tickets(keep_s=10, abandon_s=5)
     running = tickets.open('running', 0)
     ended = tickets.open('ended', 0)
     ended.complete(_NO_USAGE, 0)
     tickets.alias('foundry', 'key', 'ended')
-    running.attach(0)
+    running.add_reader(0)
     assert not tickets.abandoned(6)
-    running.detach(6)
+    running.remove_reader(6)
     assert tickets.abandoned(12) == ['running']
     tickets.forget(12)
     assert tickets.get('ended') is None
