--- a/packages/client/src/tallyhall_client/client.py
+++ b/packages/client/src/tallyhall_client/client.py
@@ -187,8 +187,8 @@
         headers['x-tallyhall-tier'] = options.tier
     if options.idempotent is not None:
         headers['x-tallyhall-idempotent'] = str(options.idempotent).lower()
-    if options.key:
-        headers['idempotency-key'] = options.key
+    if options.idempotency_key:
+        headers['idempotency-key'] = options.idempotency_key
     return headers
 
 
--- a/packages/client/src/tallyhall_client/outcome.py
+++ b/packages/client/src/tallyhall_client/outcome.py
@@ -37,7 +37,7 @@
     tier: str = ''
     deadline_s: float = 30.0
     idempotent: bool | None = None
-    key: str = ''
+    idempotency_key: str = ''
 
 
 @dataclasses.dataclass(slots=True)
