--- a/packages/admission/src/tallyhall_admission/outgoing.py
+++ b/packages/admission/src/tallyhall_admission/outgoing.py
@@ -18,14 +18,14 @@
     message: Message
 
 
-def refuse(ask: Ask, reason: Reason, wait_s: float) -> Outgoing:
+def refusal_message(ask: Ask, reason: Reason, wait_s: float) -> Outgoing:
     """Return a refusal that allows a retry after about `wait_s`."""
     retry = max(wait_s, _MIN_RETRY_AFTER_S)
     message = AskRefused(ask.id, ask.service, ask.attempt, reason, retry)
     return Outgoing(ask.holder, message)
 
 
-def running_of(ask: Ask, upstream: str, left_s: float) -> Running:
+def running_entry(ask: Ask, upstream: str, left_s: float) -> Running:
     """Return the entry of a running request in its home's report."""
     return Running(
         ask.id,
--- a/packages/admission/src/tallyhall_admission/memory.py
+++ b/packages/admission/src/tallyhall_admission/permit_records.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Recall:
+class PermitLookup:
     """Result of a lookup of one id."""
 
     state: str
@@ -37,7 +37,7 @@
     upstream: str = ''
 
 
-class PermitMemory:
+class PermitRecords:
     """Issued permits by home, window and nonce."""
 
     def __init__(self, windows_kept: int) -> None:
@@ -53,17 +53,17 @@
             for records in home.windows.values()
         )
 
-    def recall(self, rid: RequestId) -> Recall:
+    def look_up(self, rid: RequestId) -> PermitLookup:
         """Return whether the id was permitted, was not, or is forgotten."""
         home = self._homes.get(str(rid.home))
         if home is None:
-            return Recall(NEVER)
+            return PermitLookup(NEVER)
         if rid.window <= home.last_forgotten:
-            return Recall(FORGOTTEN)
+            return PermitLookup(FORGOTTEN)
         known = home.windows.get(rid.window, {}).get(rid.nonce)
         if known is None:
-            return Recall(NEVER)
-        return Recall(PERMITTED, *known)
+            return PermitLookup(NEVER)
+        return PermitLookup(PERMITTED, *known)
 
     def record(self, rid: RequestId, holder: str, upstream: str) -> None:
         """Record a permit and delete the windows that are too old."""
@@ -77,7 +77,7 @@
             home.last_forgotten = max(home.last_forgotten, window)
         home.last_forgotten = max(home.last_forgotten, oldest)
 
-    def drop(self, home: str) -> None:
+    def forget_home(self, home: str) -> None:
         """Delete the records of a dead home; its ids stay `forgotten`."""
         self._homes[home] = _HomeRecords(last_forgotten=_MAX_WINDOW)
 
--- a/packages/admission/src/tallyhall_admission/pool.py
+++ b/packages/admission/src/tallyhall_admission/pool.py
@@ -15,8 +15,8 @@
 from tallyhall_table.model import ServiceRow, Table
 
 from .jobs import Grant, Job
-from .memory import FORGOTTEN, PERMITTED
-from .outgoing import Outgoing, refuse
+from .outgoing import Outgoing, refusal_message
+from .permit_records import FORGOTTEN, PERMITTED
 from .policy import Policy, expected_output
 from .service_state import ServiceState
 from .settings import PoolSettings
@@ -52,11 +52,11 @@
         """Start without upstreams; permits are issued once `ready` is set."""
         self.service = service
         self.ready = False
-        self.roster = ServiceState(cfg)
+        self.state = ServiceState(cfg)
         self._cfg = cfg
         self._policy = policy
         self._waiting = WaitingJobs()
-        self._shedder = LoadShedder(self.roster, self._waiting, cfg)
+        self._shedder = LoadShedder(self.state, self._waiting, cfg)
 
     def configure(self, table: Table, now: float) -> None:
         """Apply a new table."""
@@ -68,38 +68,38 @@
         }
         self._shedder.tiers = Tiers(table.tiers)
         self._shedder.max_queue = row.max_queue
-        self.roster.configure(row, limits, self._shedder.tiers, now)
+        self.state.configure(row, limits, self._shedder.tiers, now)
 
-    def take_instances(self, infos: tuple[UpstreamInfo, ...]) -> None:
+    def apply_upstreams(self, infos: tuple[UpstreamInfo, ...]) -> None:
         """Apply a new instance list."""
-        self.roster.take_instances(infos)
+        self.state.apply_upstreams(infos)
 
-    def inherit_promises(self, now: float) -> None:
+    def inherit_holds(self, now: float) -> None:
         """Hold lower tiers, as an earlier owner may have decided."""
         self._shedder.inherit_holds(now)
 
-    def set_blind(self, *, blind: bool) -> None:
+    def set_unreported_work(self, *, exists: bool) -> None:
         """Set whether the running requests of some home are unknown."""
-        self._shedder.has_unreported_work = blind
+        self._shedder.has_unreported_work = exists
 
     # -- messages from homes
 
     def ask(self, ask: Ask, now: float) -> list[Outgoing]:
         """Handle a request for a permit."""
         rid = RequestId.parse(ask.id)
-        recall = self.roster.memory.recall(rid)
-        if recall.state == FORGOTTEN:
-            return [refuse(ask, Reason.bad_request_id, 0)]
-        if recall.state == PERMITTED and recall.holder != ask.holder:
-            return [refuse(ask, Reason.takeover_unknown, 0)]
-        grant = self.roster.grants.get(ask.id)
+        lookup = self.state.permit_records.look_up(rid)
+        if lookup.state == FORGOTTEN:
+            return [refusal_message(ask, Reason.bad_request_id, 0)]
+        if lookup.state == PERMITTED and lookup.holder != ask.holder:
+            return [refusal_message(ask, Reason.takeover_unknown, 0)]
+        grant = self.state.grants.get(ask.id)
         if grant is not None:
             if grant.job.ask.attempt == ask.attempt:
                 return [self._permit(grant)]
             if grant.job.ask.attempt > ask.attempt:
                 # A delayed duplicate of an earlier attempt.
                 return []
-            self.roster.release(ask.id)
+            self.state.release(ask.id)
         waiting = self._waiting.get(ask.id)
         if waiting is not None:
             waiting.ask = ask
@@ -108,30 +108,30 @@
 
     def done(self, done: Done, now: float) -> list[Outgoing]:
         """Release a returned permit; ignore duplicates of earlier attempts."""
-        held = self.roster.grants.get(done.id)
+        held = self.state.grants.get(done.id)
         if held is None or held.job.ask.attempt != done.attempt:
             return []
-        grant = self.roster.release(done.id)
+        grant = self.state.release(done.id)
         if grant is None:
             return []
-        self.roster.update_estimates(grant, done, now)
+        self.state.update_estimates(grant, done, now)
         return self._start_jobs(now)
 
     def withdraw(self, request_id: str, now: float) -> list[Outgoing]:
         """Remove a queued request, or release a permit that was not used."""
         self._waiting.remove(request_id)
-        self.roster.release(request_id)
+        self.state.release(request_id)
         return self._start_jobs(now)
 
     def progress(self, report: Progress, now: float) -> list[Outgoing]:
         """Handle a home's report on the open streams of an upstream."""
-        self.roster.progress(report, now)
+        self.state.progress(report, now)
         return self._start_jobs(now)
 
     def holding(self, holding: Holding, now: float) -> None:
         """Record a home's running requests after a change of owner."""
         for running in holding.running:
-            if running.id in self.roster.grants:
+            if running.id in self.state.grants:
                 continue
             ask = Ask(
                 id=running.id,
@@ -146,25 +146,25 @@
                 attempt=running.attempt,
             )
             job = self._job(ask, RequestId.parse(running.id), now)
-            self.roster.record(Grant(job, running.upstream, now))
+            self.state.record(Grant(job, running.upstream, now))
 
-    def drop_waiting(self, homes: Set[str]) -> None:
+    def remove_queued(self, homes: Set[str]) -> None:
         """Remove queued requests of fenced homes; running ones continue."""
         for job in list(self._waiting):
             if job.ask.holder in homes:
                 self._waiting.remove(job.ask.id)
 
-    def homes_gone(self, homes: Set[str], now: float) -> list[Outgoing]:
+    def remove_homes(self, homes: Set[str], now: float) -> list[Outgoing]:
         """Remove the queued and running requests of dead homes."""
-        self.drop_waiting(homes)
-        self.roster.release_homes(homes)
+        self.remove_queued(homes)
+        self.state.release_homes(homes)
         return self._start_jobs(now)
 
     # -- timers
 
     def tick(self, now: float) -> list[Outgoing]:
         """Release expired permits, start jobs and refuse late ones."""
-        self.roster.release_expired(now)
+        self.state.release_expired(now)
         if not self.ready:
             return []
         out = self._start_jobs(now)
@@ -180,10 +180,10 @@
         """Return the counts for `status`."""
         return PoolCounts(
             len(self._waiting),
-            len(self.roster.grants),
-            self.roster.slots(),
-            len(self.roster),
-            len(self.roster.memory),
+            len(self.state.grants),
+            self.state.slots(),
+            len(self.state),
+            len(self.state.permit_records),
         )
 
     # -- internals
@@ -196,16 +196,16 @@
     ) -> list[Outgoing]:
         job = self._job(ask, rid, now)
         if ask.attempt == 0:
-            wait = self.roster.limits.admit(ask.workspace, job.cost, now)
+            wait = self.state.limits.admit(ask.workspace, job.cost, now)
             if wait > 0:
-                return [refuse(ask, Reason.rate_limited, wait)]
+                return [refusal_message(ask, Reason.rate_limited, wait)]
         if not (self._policy.queues_requests and self.ready):
             self._waiting.push(job)
             return self._start_jobs(now)
         rejection = self._shedder.check_arrival(job, now)
         if rejection is not None:
             out = self._shedder.hold_lower_tiers(job, rejection.reason, now)
-            out.append(refuse(ask, rejection.reason, rejection.wait_s))
+            out.append(refusal_message(ask, rejection.reason, rejection.wait_s))
             return out
         self._waiting.push(job)
         return self._start_jobs(now) + self._shedder.revoke_for_urgent(now)
@@ -215,7 +215,7 @@
         out: list[Outgoing] = []
         if not self.ready:
             return out
-        upstreams = self.roster.available_upstreams(now)
+        upstreams = self.state.available_upstreams(now)
         if self._policy.queues_requests and not any(
             up.free_slots() for up in upstreams
         ):
@@ -223,9 +223,9 @@
         grant = self._next_grant(upstreams, now)
         while grant is not None:
             self._waiting.remove(grant.job.ask.id)
-            weight = self.roster.limits.weight(grant.job.ask.workspace)
+            weight = self.state.limits.weight(grant.job.ask.workspace)
             self._waiting.charge(grant.job, weight)
-            self.roster.record(grant)
+            self.state.record(grant)
             out.append(self._permit(grant))
             grant = self._next_grant(upstreams, now)
         return out
@@ -235,7 +235,7 @@
         upstreams: list[Upstream],
         now: float,
     ) -> Grant | None:
-        has_capacity = self.roster.limits.has_capacity
+        has_capacity = self.state.limits.has_capacity
         for jobs in self._waiting.next_by_workspace(has_capacity, _LOOK_AHEAD):
             grant = self._select_grant(jobs, upstreams, now)
             if grant is not None:
@@ -306,8 +306,8 @@
 
     def _job(self, ask: Ask, rid: RequestId, now: float) -> Job:
         rank = self._shedder.tiers.rank_of(ask.tier)
-        output = expected_output(self.roster.lengths, ask)
-        cached = self.roster.max_cached_tokens(ask.prefixes)
+        output = expected_output(self.state.lengths, ask)
+        cached = self.state.max_cached_tokens(ask.prefixes)
         return Job(ask, rid, rank, now + ask.left_s, output, now, cached)
 
     def _permit(self, grant: Grant) -> Outgoing:
@@ -317,7 +317,7 @@
             self.service,
             ask.attempt,
             grant.upstream,
-            self.roster.address_of(grant.upstream),
+            self.state.address_of(grant.upstream),
             self._cfg.permit_s,
             ask.ends,
         )
--- a/packages/admission/src/tallyhall_admission/service_state.py
+++ b/packages/admission/src/tallyhall_admission/service_state.py
@@ -14,7 +14,7 @@
 from .estimate import OutputLengths
 from .jobs import Grant
 from .limits import WorkspaceLimits
-from .memory import PermitMemory
+from .permit_records import PermitRecords
 from .settings import PoolSettings
 from .tiers import Tiers
 from .upstream import Upstream, UpstreamInfo
@@ -28,7 +28,7 @@
         self.grants: dict[str, Grant] = {}
         self.limits = WorkspaceLimits()
         self.lengths = OutputLengths()
-        self.memory = PermitMemory(cfg.windows_kept)
+        self.permit_records = PermitRecords(cfg.windows_kept)
         self._cfg = cfg
         self._ceiling = 1
         self._gap_s: float = 0
@@ -52,7 +52,7 @@
             upstream.limit.ceiling = row.max_running
             upstream.limit.gap_s = gap_s
 
-    def take_instances(self, infos: tuple[UpstreamInfo, ...]) -> None:
+    def apply_upstreams(self, infos: tuple[UpstreamInfo, ...]) -> None:
         """Apply the instance list; keep the state of listed upstreams."""
         found = {}
         for info in infos:
@@ -105,7 +105,7 @@
         """Record an issued permit."""
         ask = grant.job.ask
         self.grants[ask.id] = grant
-        self.memory.record(grant.job.rid, ask.holder, grant.upstream)
+        self.permit_records.record(grant.job.rid, ask.holder, grant.upstream)
         self.limits.count_start(ask.workspace)
         upstream = self._upstreams.get(grant.upstream)
         if upstream is not None:
@@ -114,7 +114,7 @@
             upstream.cache.record_prompt(ask.prefixes)
 
     def release(self, request_id: str) -> Grant | None:
-        """Release a permit; its record in the permit memory stays."""
+        """Release a permit; its entry in the permit records stays."""
         grant = self.grants.pop(request_id, None)
         if grant is None:
             return None
@@ -164,7 +164,7 @@
         required = self._required_gap(report.upstream, gap)
         upstream.limit.on_token_gap(gap, required, upstream.running, now)
 
-    def load_report(
+    def record_load(
         self,
         name: str,
         requests: float,
--- a/packages/admission/src/tallyhall_admission/shedding.py
+++ b/packages/admission/src/tallyhall_admission/shedding.py
@@ -15,7 +15,7 @@
 
 from . import forecast
 from .jobs import Grant, Job
-from .outgoing import Outgoing, refuse
+from .outgoing import Outgoing, refusal_message
 from .run_time import ServiceRunTimes
 from .service_state import ServiceState
 from .settings import PoolSettings
@@ -102,7 +102,9 @@
         out = []
         for lower in self._waiting.in_lower_tiers(job.rank):
             self._waiting.remove(lower.ask.id)
-            out.append(refuse(lower.ask, Reason.shed, self._cfg.hold_s))
+            out.append(
+                refusal_message(lower.ask, Reason.shed, self._cfg.hold_s)
+            )
         return out
 
     def refuse_late(self, now: float) -> list[Outgoing]:
@@ -118,7 +120,9 @@
                 continue
             self._waiting.remove(job.ask.id)
             out += self.hold_lower_tiers(job, reason, now)
-            out.append(refuse(job.ask, reason, self._wait(job, run_times)))
+            out.append(
+                refusal_message(job.ask, reason, self._wait(job, run_times))
+            )
         return out
 
     def revoke_for_urgent(self, now: float) -> list[Outgoing]:
--- a/packages/bench/src/tallyhall_bench/platform_load.py
+++ b/packages/bench/src/tallyhall_bench/platform_load.py
@@ -15,7 +15,7 @@
 from tallyhall_dispatch.options import Listening
 from tallyhall_edge.client import ClientConnection
 from tallyhall_edge.errors import ConnectionFailedError, EdgeError
-from tallyhall_edge.messages import ResponseHead, find_header, encode_head
+from tallyhall_edge.messages import ResponseHead, encode_head, find_header
 
 KEY = 'key-1'
 SITE = 'shop.example'
--- a/packages/bench/src/tallyhall_bench/slopes.py
+++ b/packages/bench/src/tallyhall_bench/slopes.py
@@ -19,7 +19,7 @@
 from tallyhall_admission.pool import Pool
 from tallyhall_admission.settings import PoolSettings
 from tallyhall_admission.upstream import UpstreamInfo
-from tallyhall_core.ids import Home, RequestId
+from tallyhall_core.ids import InstanceRun, RequestId
 from tallyhall_core.messages import Ask, Digest, Done, MemberEntry, encode
 from tallyhall_membership.assignment import Assignment, FenceEdit, Tenure
 from tallyhall_membership.assignment import apply_edits as apply_assignment
@@ -31,7 +31,7 @@
 
 _ROUNDS = 400
 _MILLION = 1_000_000
-_HOME = Home('entry-1', '0123456789ab')
+_HOME = InstanceRun('entry-1', '0123456789ab')
 _SERVICE = 'ledger'
 
 
@@ -159,7 +159,7 @@
         pool = _pool(9)
         for number in range(size):
             rid = RequestId.parse(_ask(number).id)
-            pool.roster.memory.record(rid, str(_HOME), 'engine-1')
+            pool.state.permit_records.record(rid, str(_HOME), 'engine-1')
         points.append(
             Point(
                 'memory of permits (peak growth)',
@@ -191,7 +191,7 @@
 def _pool(upstreams: int) -> Pool:
     pool = Pool(_SERVICE, make_policy('tallyhall'), PoolSettings())
     pool.configure(large_table(5), 0)
-    pool.take_instances(
+    pool.apply_upstreams(
         tuple(
             UpstreamInfo(f'engine-{number}', f'10.0.0.1:{number + 1}')
             for number in range(upstreams)
--- a/packages/bench/src/tallyhall_bench/spread.py
+++ b/packages/bench/src/tallyhall_bench/spread.py
@@ -66,13 +66,13 @@
         self._deliver()
         while not self._reached_all() and rounds < _MOST_ROUNDS:
             rounds += 1
-            now = rounds * self._cfg.beat_s
+            now = rounds * self._cfg.heartbeat_s
             for address, node in self._nodes.items():
                 self._send(address, node.member.tick(now, 0, 0))
             self._deliver()
         size = len(self._nodes)
-        seconds = rounds * self._cfg.beat_s
-        per_s = self._other_bytes / size / max(seconds, self._cfg.beat_s)
+        seconds = rounds * self._cfg.heartbeat_s
+        per_s = self._other_bytes / size / max(seconds, self._cfg.heartbeat_s)
         return SpreadPoint(
             'propagate' if self._propagate else 'invalidate',
             size,
--- a/packages/bench/src/tallyhall_bench/tables.py
+++ b/packages/bench/src/tallyhall_bench/tables.py
@@ -9,7 +9,7 @@
 
 from tallyhall_sources.errors import PlatformError
 from tallyhall_sources.kv import EtcdKeyValue
-from tallyhall_table.edits import RowEdit, rows_of
+from tallyhall_table.edits import RowEdit, rows_by_key
 from tallyhall_table.model import Table
 from tallyhall_table.store import TableStore
 
@@ -33,7 +33,7 @@
     store = TableStore(EtcdKeyValue(f'http://{address}', _TIMEOUT_S))
     key = f'{workspace}/ledger'
     with contextlib.suppress(PlatformError):
-        before = rows_of(store.read(), 'limits')[key]
+        before = rows_by_key(store.read(), 'limits')[key]
         after = before.model_copy(update={'weight': weight})
         store.change((RowEdit('limits', key, before, after),), 'faults')
 
@@ -46,7 +46,7 @@
 ) -> None:
     """Name the model that a service's engines are to load."""
     store = TableStore(EtcdKeyValue(f'http://{address}', _TIMEOUT_S))
-    before = rows_of(store.read(), 'services')[service]
+    before = rows_by_key(store.read(), 'services')[service]
     after = before.model_copy(
         update={'model': model, 'checks_fencing': checks_fencing},
     )
--- a/packages/core/src/tallyhall_core/ids.py
+++ b/packages/core/src/tallyhall_core/ids.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Home:
+class InstanceRun:
     """The name of an instance and the incarnation of one of its runs."""
 
     instance: str
@@ -40,7 +40,7 @@
         return f'{self.instance}.{self.incarnation}'
 
     @classmethod
-    def parse(cls, text: str) -> Home:
+    def parse(cls, text: str) -> InstanceRun:
         """Parse the text form; raise BadRequestIdError if it is invalid."""
         instance, _, incarnation = text.partition('.')
         if not instance or not incarnation:
@@ -57,7 +57,7 @@
     takeover: whether another instance may take over the request.
     """
 
-    home: Home
+    home: InstanceRun
     epoch: int
     window: int
     takeover: bool
@@ -74,9 +74,9 @@
         return f'{self.home}.{self.epoch}.{self.window}.{mark}'
 
     @classmethod
-    def mint(
+    def generate(
         cls,
-        home: Home,
+        home: InstanceRun,
         epoch: int,
         window: int,
         *,
@@ -92,7 +92,7 @@
         if match is None:
             raise BadRequestIdError(text)
         return cls(
-            Home(match['instance'], match['incarnation']),
+            InstanceRun(match['instance'], match['incarnation']),
             int(match['epoch']),
             int(match['window']),
             match['mark'] == MARK_TAKEOVER,
--- a/packages/daemon/src/tallyhall_daemon/command_table.py
+++ b/packages/daemon/src/tallyhall_daemon/command_table.py
@@ -20,7 +20,7 @@
     Section,
     parse_row,
     parse_table,
-    rows_of,
+    rows_by_key,
 )
 from tallyhall_table.errors import Conflict, TableError
 from tallyhall_table.model import Table
@@ -75,7 +75,7 @@
             return 0
         self.line(f'revision {table.revision}')
         for section in SECTIONS:
-            for key, row in rows_of(table, section).items():
+            for key, row in rows_by_key(table, section).items():
                 self.line(f'{section}/{key} {row.model_dump_json()}')
         return 0
 
@@ -97,7 +97,7 @@
         section = _section(self.argument('section'))
         key = self.argument('key')
         store = self.store()
-        before = rows_of(store.read(), section).get(key)
+        before = rows_by_key(store.read(), section).get(key)
         after = None
         if not self.option('remove'):
             fields = (
--- a/packages/daemon/src/tallyhall_daemon/effects.py
+++ b/packages/daemon/src/tallyhall_daemon/effects.py
@@ -61,11 +61,13 @@
         """Send a message to a peer."""
         self._sender.send(action.address, sender, action.to, action.message)
 
-    def open(self, request_id: str, call: Call, *, attached: bool) -> Ticket:
+    def open(
+        self, request_id: str, call: Call, *, is_duplicate: bool
+    ) -> Ticket:
         """Return the ticket of a submitted request."""
         now = time.monotonic()
         known = self._tickets.get(request_id)
-        if attached:
+        if is_duplicate:
             if known is None:
                 known = self._tickets.open(request_id, now)
                 known.refuse(Refusal.of(Reason.already_answered), now)
--- a/packages/daemon/src/tallyhall_daemon/instance.py
+++ b/packages/daemon/src/tallyhall_daemon/instance.py
@@ -26,10 +26,10 @@
 from tallyhall_node.actions import (
     Action,
     CancelRun,
-    Count,
-    Finish,
+    IncrementCounter,
     LogEvent,
     ProposeEdits,
+    RefuseRequest,
     RelayTo,
     Restart,
     RunResult,
@@ -71,7 +71,9 @@
     def send(self, sender: str, action: Send) -> None:
         """Send a message to a peer."""
 
-    def open(self, request_id: str, call: Call, *, attached: bool) -> Ticket:
+    def open(
+        self, request_id: str, call: Call, *, is_duplicate: bool
+    ) -> Ticket:
         """Return the ticket of a submitted request."""
 
     def start_run(self, action: StartRun) -> None:
@@ -139,7 +141,7 @@
         ticket = self.effects.open(
             submission.id,
             call,
-            attached=submission.attached,
+            is_duplicate=submission.is_duplicate,
         )
         self._perform(node, submission.actions)
         return ticket
@@ -218,7 +220,7 @@
         if self._node.view.members.own.kv_up != up:
             event = Event.kv_up if up else Event.kv_down
             self.effects.event(event, {})
-        self._node.on_kv(up=up)
+        self._node.on_kv_status(up=up)
 
     @_told
     def load(
@@ -229,18 +231,20 @@
     ) -> None:
         """Take an upstream's load report."""
         node = self._node
-        node.on_load(service, upstream, report.requests, report.cache_tokens)
+        node.on_load_report(
+            service, upstream, report.requests, report.cache_tokens
+        )
         if report.model:
-            node.controller.on_model(upstream, report.model)
+            node.controller.on_model_report(upstream, report.model)
 
-    def orders_due(self) -> tuple[Order, ...]:
+    def due_orders(self) -> tuple[Order, ...]:
         """Return the orders to engines that are due."""
-        return self._node.orders_due(time.monotonic())
+        return self._node.due_orders(time.monotonic())
 
     @_told
     def peer_down(self, address: str) -> None:
         """Take that nothing listens at a peer's address."""
-        self._perform(self._node, self._node.on_peer_down(address))
+        self._perform(self._node, self._node.on_peer_unreachable(address))
 
     def poll_plan(self) -> PollPlan:
         """Return what the pollers should do now."""
@@ -270,9 +274,9 @@
         """Start a graceful stop."""
         self._perform(self._node, self._node.leave(time.monotonic()))
 
-    def gone(self) -> None:
+    def announce_exit(self) -> None:
         """Say the last word."""
-        self._perform(self._node, self._node.gone(time.monotonic()))
+        self._perform(self._node, self._node.announce_exit(time.monotonic()))
 
     def is_drained(self) -> bool:
         """Return whether an exit would cut nothing off."""
@@ -388,7 +392,7 @@
                 effects.start_run(action)
             case CancelRun():
                 effects.cancel_run(action.id, action.refusal)
-            case Finish():
+            case RefuseRequest():
                 effects.finish(action.id, action.refusal)
             case RelayTo():
                 effects.relay(action)
@@ -396,5 +400,5 @@
                 effects.propose(action.edits)
             case LogEvent():
                 effects.event(action.event, action.fields)
-            case Count():
+            case IncrementCounter():
                 effects.count(action.name, action.amount)
--- a/packages/daemon/src/tallyhall_daemon/orders.py
+++ b/packages/daemon/src/tallyhall_daemon/orders.py
@@ -57,13 +57,15 @@
 
     def _take(self) -> bool:
         lease = self._kv.grant_lease(LEASE_S)
-        taken = self._kv.swap_leased(self._key, self._holder.encode(), lease)
+        taken = self._kv.create_with_lease(
+            self._key, self._holder.encode(), lease
+        )
         if taken:
             self._lease = lease
         return taken
 
     def _renew(self) -> bool:
-        return self._kv.keep_lease(self._lease)
+        return self._kv.renew_lease(self._lease)
 
 
 class OrderSender:
@@ -109,7 +111,7 @@
         if self._weights is None:
             return True
         try:
-            return self._weights.stat(model).size > 0
+            return self._weights.get_metadata(model).size > 0
         except PlatformError:
             return False
 
--- a/packages/daemon/src/tallyhall_daemon/pollers.py
+++ b/packages/daemon/src/tallyhall_daemon/pollers.py
@@ -18,14 +18,14 @@
 from tallyhall_membership.shared import ASSIGNMENT, INSTANCES, TABLE
 from tallyhall_node import instances as lists
 from tallyhall_sources.errors import PlatformError
-from tallyhall_sources.instance_list import EndpointList, InstanceLister
+from tallyhall_sources.instance_list import EndpointList, InstanceListClient
 from tallyhall_sources.kv import KeyValue
 from tallyhall_sources.stored import (
     ASSIGNMENT_KEY,
     PREFIX,
     TABLE_KEY,
-    change_text,
     read_text,
+    update_value,
 )
 from tallyhall_sources.weights import HttpWeightStore
 from tallyhall_table.edits import parse_table
@@ -52,7 +52,7 @@
         self,
         actor: Any,
         kv: KeyValue,
-        lister: InstanceLister,
+        lister: InstanceListClient,
         cfg: Settings,
         telemetry: Telemetry,
     ) -> None:
@@ -121,7 +121,7 @@
         self._actor.kv(up=True).get()
         started = time.monotonic()
         try:
-            self._kv.wait_change(PREFIX, seen, _WATCH_S)
+            self._kv.wait_for_change(PREFIX, seen, _WATCH_S)
         except PlatformError:
             self._telemetry.count('watch_broken')
         if time.monotonic() - started < _IDLE_S / 10:
@@ -159,7 +159,7 @@
 
     def _send_orders(self) -> None:
         self._stop.wait(_ORDERS_S)
-        self._orders.send_all(self._actor.orders_due().get())
+        self._orders.send_all(self._actor.due_orders().get())
 
     def _write_edits(
         self,
@@ -172,7 +172,7 @@
         while not proposals.empty():
             edits = (*edits, *proposals.get_nowait())
         try:
-            text = change_text(
+            text = update_value(
                 self._kv,
                 ASSIGNMENT_KEY,
                 lambda old: _edited(old, edits),
--- a/packages/daemon/src/tallyhall_daemon/serve.py
+++ b/packages/daemon/src/tallyhall_daemon/serve.py
@@ -17,7 +17,7 @@
 from tallyhall_gateway.ticket import Ticket
 from tallyhall_gateway.tickets import Tickets
 from tallyhall_node.node import LocatedEntry
-from tallyhall_sources.instance_list import EndpointSliceLister
+from tallyhall_sources.instance_list import EndpointSliceClient
 from tallyhall_sources.kv import EtcdKeyValue
 from tallyhall_table.model import Table
 from tallyhall_transport.errors import TransportError
@@ -145,7 +145,7 @@
         self._pollers = Pollers(
             self._actor,
             EtcdKeyValue(cfg.platform.kv, cfg.platform.timeout_s),
-            EndpointSliceLister(
+            EndpointSliceClient(
                 cfg.platform.instances,
                 cfg.platform.timeout_s,
             ),
@@ -224,7 +224,7 @@
         self._let_callers_read()
         self._http.close()
         self._http.task_dispatcher.shutdown()
-        self._actor.gone().get()
+        self._actor.announce_exit().get()
         time.sleep(_LAST_WORD_S)
         self._pollers.stop()
         self._rpc.stop(grace=None)
--- a/packages/daemon/src/tallyhall_daemon/settings.py
+++ b/packages/daemon/src/tallyhall_daemon/settings.py
@@ -112,13 +112,13 @@
         times = self.times
         return NodeSettings(
             policy=self.policy,
-            beat_s=times.beat_s,
-            reask_s=times.reask_s,
-            rebuild_s=times.rebuild_s,
-            duty_s=times.duty_s,
+            heartbeat_s=times.beat_s,
+            permit_retry_s=times.reask_s,
+            report_timeout_s=times.rebuild_s,
+            proposal_delay_s=times.duty_s,
             window_s=times.window_s,
-            locate_s=times.locate_s,
-            pause_s=times.dead_after_s / 2,
+            locate_cache_s=times.locate_s,
+            max_pause_s=times.dead_after_s / 2,
             pool=PoolSettings(permit_s=times.permit_s, hold_s=times.hold_s),
             members=MemberSettings(dead_after=times.dead_after_s),
         )
--- a/packages/membership/src/tallyhall_membership/members.py
+++ b/packages/membership/src/tallyhall_membership/members.py
@@ -11,7 +11,7 @@
 
 import dataclasses
 
-from tallyhall_core.ids import Home
+from tallyhall_core.ids import InstanceRun
 from tallyhall_core.messages import MemberEntry
 
 from . import rendezvous
@@ -49,9 +49,9 @@
         self._gossip_round = 0
 
     @property
-    def home(self) -> Home:
+    def home(self) -> InstanceRun:
         """Return the name and incarnation of this instance."""
-        return Home(self.own.instance, self.own.incarnation)
+        return InstanceRun(self.own.instance, self.own.incarnation)
 
     def beat(self, **changes: object) -> None:
         """Increment the own heartbeat counter and update the given fields."""
--- a/packages/node/src/tallyhall_node/actions.py
+++ b/packages/node/src/tallyhall_node/actions.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Finish:
+class RefuseRequest:
     """Answer the caller with a refusal; nothing runs for this id here."""
 
     id: str
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Count:
+class IncrementCounter:
     """Increment a counter."""
 
     name: str
@@ -98,12 +98,12 @@
     Send
     | StartRun
     | CancelRun
-    | Finish
+    | RefuseRequest
     | RelayTo
     | ProposeEdits
     | Restart
     | LogEvent
-    | Count
+    | IncrementCounter
 )
 
 
--- a/packages/node/src/tallyhall_node/duties.py
+++ b/packages/node/src/tallyhall_node/duties.py
@@ -73,7 +73,7 @@
         self, now: float, window: int, load: int
     ) -> list[Action]:
         due = self._last_heartbeat is None or (
-            now - self._last_heartbeat >= self._view.cfg.beat_s
+            now - self._last_heartbeat >= self._view.cfg.heartbeat_s
         )
         if not due:
             return []
@@ -92,10 +92,15 @@
         candidates = rendezvous.rank('duty', self._view.candidates(now))
         me = self._view.home.instance
         position = candidates.index(me) if me in candidates else len(candidates)
-        if now - self._stagger_start < position * self._view.cfg.duty_s:
+        if (
+            now - self._stagger_start
+            < position * self._view.cfg.proposal_delay_s
+        ):
             return []
         # Retry only after every other candidate has had time to propose.
-        self._stagger_start = now + len(candidates) * self._view.cfg.duty_s
+        self._stagger_start = (
+            now + len(candidates) * self._view.cfg.proposal_delay_s
+        )
         return [ProposeEdits(edits)]
 
     def _owner_edits(self, now: float) -> tuple[OwnerEdit, ...]:
--- a/packages/node/src/tallyhall_node/home.py
+++ b/packages/node/src/tallyhall_node/home.py
@@ -10,7 +10,7 @@
 
 from __future__ import annotations
 
-from tallyhall_admission.outgoing import running_of
+from tallyhall_admission.outgoing import running_entry
 from tallyhall_core.events import Event
 from tallyhall_core.ids import RequestId
 from tallyhall_core.messages import (
@@ -27,15 +27,15 @@
 from .actions import (
     Action,
     CancelRun,
-    Count,
-    Finish,
+    IncrementCounter,
     Outcome,
+    RefuseRequest,
     RequestSpec,
     RunResult,
     StartRun,
 )
 from .quarantine import ObservedTerminations
-from .request import HomeRequest, State, request_event, refusal_reason
+from .request import HomeRequest, State, refusal_reason, request_event
 from .retries import RetryBudget
 from .view import View
 
@@ -135,7 +135,7 @@
         if sender != req.requested_owner:
             withdraw = Withdraw(msg.id, msg.service)
             return [
-                Count('retry.stale_owner'),
+                IncrementCounter('retry.stale_owner'),
                 *self._view.send(sender, withdraw),
             ]
         req.state = State.running
@@ -160,7 +160,7 @@
         if msg.attempt != req.attempt:
             return []
         if sender != req.requested_owner:
-            return [Count('retry.stale_owner')]
+            return [IncrementCounter('retry.stale_owner')]
         refusal = Refusal.of(msg.reason, retry_after=msg.retry_after_s)
         return self._finish(req, refusal, now)
 
@@ -169,8 +169,8 @@
         req = self._active.get(msg.id)
         if req is None or req.state != State.waiting:
             return []
-        req.permit_requested_at = now - self._view.cfg.reask_s / 2
-        return [Count('retry.not_owner')]
+        req.permit_requested_at = now - self._view.cfg.permit_retry_s / 2
+        return [IncrementCounter('retry.not_owner')]
 
     def on_revoke(self, msg: Revoke, now: float) -> list[Action]:
         """Stop a running request at the owner's order."""
@@ -204,7 +204,7 @@
             if active.requested_owner != sender:
                 active.requested_owner = ''
         running = [
-            running_of(
+            running_entry(
                 req.permit_request(self._view.me, now),
                 req.upstream,
                 max(0, req.deadline - now),
@@ -235,7 +235,7 @@
             req.state = State.waiting
             req.attempt += 1
             req.avoid = run.upstream
-            out.append(Count(f'retry.{run.outcome}'))
+            out.append(IncrementCounter(f'retry.{run.outcome}'))
             return [*out, *self._request_permit(req, now)]
         reason = refusal_reason(run.outcome, late=now >= req.deadline)
         refusal = Refusal.of(reason, retry_after=_RETRY_AFTER_S)
@@ -285,10 +285,15 @@
                 retry_after=_RETRY_AFTER_S,
             )
             return self._finish(req, refusal, now)
-        unanswered = now - req.permit_requested_at >= self._view.cfg.reask_s
+        unanswered = (
+            now - req.permit_requested_at >= self._view.cfg.permit_retry_s
+        )
         if owner == req.requested_owner and not unanswered:
             return []
-        return [Count('retry.reask'), *self._request_permit(req, now)]
+        return [
+            IncrementCounter('retry.reask'),
+            *self._request_permit(req, now),
+        ]
 
     def _owner_of(self, req: HomeRequest, now: float) -> str:
         return self._find_owner(
@@ -369,7 +374,7 @@
         req.stop_refusal = refusal
         return [
             request_event(Event.revoked, req, reason=refusal.reason),
-            Count(f'refused.{refusal.reason}'),
+            IncrementCounter(f'refused.{refusal.reason}'),
             CancelRun(str(req.rid), refusal),
         ]
 
@@ -388,7 +393,7 @@
                 cached_tokens=run.cached_tokens,
                 first_s=round(run.first_s, 4),
             ),
-            Count(f'finished.{req.spec.tier}'),
+            IncrementCounter(f'finished.{req.spec.tier}'),
         ]
 
     def _finish(
@@ -407,8 +412,8 @@
             ),
         ]
         if not req.stop_refusal:
-            out.append(Count(f'refused.{refusal.reason}'))
-            out.append(Finish(str(req.rid), refusal))
+            out.append(IncrementCounter(f'refused.{refusal.reason}'))
+            out.append(RefuseRequest(str(req.rid), refusal))
         return out
 
     def _mark_finished(self, req: HomeRequest, now: float) -> None:
--- a/packages/node/src/tallyhall_node/node.py
+++ b/packages/node/src/tallyhall_node/node.py
@@ -37,9 +37,9 @@
 
 from .actions import (
     Action,
-    Count,
-    Finish,
+    IncrementCounter,
     LogEvent,
+    RefuseRequest,
     RequestSpec,
     Restart,
     RunResult,
@@ -70,11 +70,12 @@
 class Submission:
     """Result of submitting a request.
 
-    attached: whether the id was known, so that the caller joins that request.
+    is_duplicate: whether the id was known, so that the caller joins that
+    request.
     """
 
     id: str
-    attached: bool
+    is_duplicate: bool
     actions: list[Action]
 
 
@@ -119,15 +120,15 @@
             rid = self._generate_id(now)
             return Submission(
                 str(rid),
-                attached=False,
+                is_duplicate=False,
                 actions=self.home.submit(rid, spec, now),
             )
         text = str(request_id)
         if self.home.knows(text):
-            return Submission(text, attached=True, actions=[])
+            return Submission(text, is_duplicate=True, actions=[])
         if request_id.home != view.home:
             actions = self.takeovers.start(request_id, spec, now)
-            return Submission(text, attached=False, actions=actions)
+            return Submission(text, is_duplicate=False, actions=actions)
         if self.fenced:
             return _refused(text, Reason.fenced)
         if request_id.window < self.window(now) - 1:
@@ -138,7 +139,7 @@
             return _refused(text, Reason.bad_request_id)
         return Submission(
             text,
-            attached=False,
+            is_duplicate=False,
             actions=self.home.submit(request_id, spec, now),
         )
 
@@ -225,12 +226,12 @@
         """Handle a failure to apply proposed edits."""
         return self.takeovers.on_edits_failed(now)
 
-    def on_kv(self, *, up: bool) -> None:
+    def on_kv_status(self, *, up: bool) -> None:
         """Record whether this instance can reach the KV."""
         if self.view.members.own.kv_up != up:
             self.view.members.beat(kv_up=up)
 
-    def on_load(
+    def on_load_report(
         self,
         service: str,
         upstream: str,
@@ -238,16 +239,16 @@
         cache_tokens: int,
     ) -> None:
         """Process the load that an upstream reports."""
-        self.owner.on_load(service, upstream, requests, cache_tokens)
+        self.owner.on_load_report(service, upstream, requests, cache_tokens)
 
-    def orders_due(self, now: float) -> tuple[Order, ...]:
+    def due_orders(self, now: float) -> tuple[Order, ...]:
         """Return the orders to engines that are due now."""
         return self.controller.due_orders(self.owner.services(), now)
 
-    def on_peer_down(self, address: str) -> list[Action]:
+    def on_peer_unreachable(self, address: str) -> list[Action]:
         """Suspect a peer whose address refuses connections."""
         self.view.members.suspect_address(address)
-        return [Count('peer_unreachable')]
+        return [IncrementCounter('peer_unreachable')]
 
     # -- messages from peers
 
@@ -311,7 +312,7 @@
         self.view.members.beat(state='leaving')
         return self.member.send_heartbeat(now)
 
-    def gone(self, now: float) -> list[Action]:
+    def announce_exit(self, now: float) -> list[Action]:
         """Announce the exit of the process to all peers."""
         self.view.members.beat(state='gone')
         return self.member.send_heartbeat(now)
@@ -335,12 +336,12 @@
         # A paused process may have been replaced as an owner, and its record
         # of the running requests is outdated. A process that is only busy
         # receives its inputs late but without such a gap.
-        if now - self._last_input > self.view.cfg.pause_s:
+        if now - self._last_input > self.view.cfg.max_pause_s:
             self.owner.suspend(now)
         self._last_input = now
 
     def _generate_id(self, now: float) -> RequestId:
-        return RequestId.mint(
+        return RequestId.generate(
             self.view.home,
             self.view.assignment.epoch,
             self.window(now),
@@ -366,7 +367,7 @@
         try:
             received = assignments.decode(query.assignment)
         except assignments.BadAssignmentError:
-            return [Count('bad_message')]
+            return [IncrementCounter('bad_message')]
         offered = SharedValue(ASSIGNMENT, received.epoch, query.assignment)
         out = self.on_value(offered, now)
         return [*out, *self.owner.on_takeover_query(sender, query, now)]
@@ -376,10 +377,10 @@
     refusal = Refusal.of(reason, retry_after=1)
     return Submission(
         request_id,
-        attached=False,
+        is_duplicate=False,
         actions=[
-            Count(f'refused.{reason}'),
-            Finish(request_id, refusal),
+            IncrementCounter(f'refused.{reason}'),
+            RefuseRequest(request_id, refusal),
         ],
     )
 
--- a/packages/node/src/tallyhall_node/orders.py
+++ b/packages/node/src/tallyhall_node/orders.py
@@ -40,7 +40,7 @@
         self._models: dict[str, str] = {}
         self._ordered_at: dict[tuple[str, str], float] = {}
 
-    def on_model(self, upstream: str, model: str) -> None:
+    def on_model_report(self, upstream: str, model: str) -> None:
         """Record the model that an engine reports; reports may lag behind."""
         self._models[upstream] = model
 
--- a/packages/node/src/tallyhall_node/owner.py
+++ b/packages/node/src/tallyhall_node/owner.py
@@ -10,8 +10,8 @@
 
 import dataclasses
 
-from tallyhall_admission import memory
-from tallyhall_admission.outgoing import Outgoing, refuse
+from tallyhall_admission import permit_records
+from tallyhall_admission.outgoing import Outgoing, refusal_message
 from tallyhall_admission.policy import make_policy
 from tallyhall_admission.pool import Pool, PoolCounts
 from tallyhall_core.events import Event
@@ -89,7 +89,7 @@
                 out += self._start_pool(service, tenure.since, now)
         fenced = view.assignment.fenced.keys()
         for owned in self._owned.values():
-            owned.pool.drop_waiting(fenced)
+            owned.pool.remove_queued(fenced)
         return out
 
     def on_table(self, now: float) -> None:
@@ -100,7 +100,7 @@
     def on_instances(self) -> None:
         """Apply the new instance list to every pool."""
         for service, owned in self._owned.items():
-            owned.pool.take_instances(
+            owned.pool.apply_upstreams(
                 self._view.instances.upstreams_of(service)
             )
 
@@ -138,7 +138,7 @@
             return self._view.send(sender, refused)
         wait_s = self._quarantine.try_start(request, now)
         if wait_s:
-            quarantined = refuse(request, Reason.quarantined, wait_s)
+            quarantined = refusal_message(request, Reason.quarantined, wait_s)
             return [*out, *self._to_actions([quarantined])]
         request = dataclasses.replace(
             request, ends=self._quarantine.termination_count(request, now)
@@ -190,18 +190,21 @@
         holder = self._view.assignment.holder_of(str(rid.home))
         if owned is None or owned.is_deputy or holder != query.taker:
             return self._view.send(sender, verdict)
-        recall = owned.pool.roster.memory.recall(rid)
-        if recall.state == memory.PERMITTED:
+        lookup = owned.pool.state.permit_records.look_up(rid)
+        if lookup.state == permit_records.PERMITTED:
             verdict = QueryAnswer(
                 query.id,
                 query.service,
                 'permitted',
-                recall.upstream,
-                owned.pool.roster.address_of(recall.upstream),
+                lookup.upstream,
+                owned.pool.state.address_of(lookup.upstream),
+            )
+        elif (
+            lookup.state == permit_records.NEVER
+            and self.has_all_permits_since(
+                query.service,
+                rid.epoch,
             )
-        elif recall.state == memory.NEVER and self.has_all_permits_since(
-            query.service,
-            rid.epoch,
         ):
             verdict = QueryAnswer(query.id, query.service, 'never')
         return self._view.send(sender, verdict)
@@ -215,7 +218,7 @@
         owned = self._owned.get(service)
         return owned is not None and owned.since <= epoch
 
-    def on_load(
+    def on_load_report(
         self,
         service: str,
         upstream: str,
@@ -225,7 +228,7 @@
         """Process the load that an upstream reports."""
         owned = self._owned.get(service)
         if owned is not None:
-            owned.pool.roster.load_report(upstream, requests, cache_tokens)
+            owned.pool.state.record_load(upstream, requests, cache_tokens)
 
     # -- timers
 
@@ -236,7 +239,9 @@
             if not owned.pool.ready:
                 out += self._check_ready(service, owned, now)
             out += self._request_reports(service, owned, now)
-            owned.pool.set_blind(blind=self._has_unreported_homes(owned, now))
+            owned.pool.set_unreported_work(
+                exists=self._has_unreported_homes(owned, now)
+            )
             if owned.is_deputy and not self._view.kv_down(now):
                 self._owned.pop(service)
                 continue
@@ -257,8 +262,8 @@
         cfg = self._view.cfg
         pool = Pool(service, make_policy(cfg.policy), cfg.pool)
         pool.configure(self._view.table, now)
-        pool.take_instances(self._view.instances.upstreams_of(service))
-        pool.inherit_promises(now)
+        pool.apply_upstreams(self._view.instances.upstreams_of(service))
+        pool.inherit_holds(now)
         owned = _OwnedService(pool, since, now, deputy)
         self._owned[service] = owned
         event = Event.deputy_started if deputy else Event.owner_started
@@ -308,7 +313,7 @@
         if owned.pool.ready:
             return []
         homes = self._live_homes(now)
-        timed_out = now - owned.started_at >= self._view.cfg.rebuild_s
+        timed_out = now - owned.started_at >= self._view.cfg.report_timeout_s
         # After a pause the list of live homes and the assignment may be
         # outdated, so a resumed owner always waits for the whole timeout.
         complete = homes <= owned.reported_homes and not owned.suspended
@@ -316,7 +321,9 @@
             return []
         owned.suspended = False
         owned.pool.ready = True
-        owned.pool.set_blind(blind=self._has_unreported_homes(owned, now))
+        owned.pool.set_unreported_work(
+            exists=self._has_unreported_homes(owned, now)
+        )
         log = LogEvent(
             Event.owner_ready,
             {'service': service, 'complete': complete},
@@ -340,13 +347,13 @@
         # ids stay blocked, so this never allows a second dispatch.
         homes = self._live_homes(now)
         for owned in self._owned.values():
-            for home in owned.pool.roster.memory.homes() - homes:
+            for home in owned.pool.state.permit_records.homes() - homes:
                 since = self._absent_since.setdefault(home, now)
                 if now - since > self._permit_retention_s(home, now):
-                    owned.pool.homes_gone({home}, now)
+                    owned.pool.remove_homes({home}, now)
                     owned.reported_homes.discard(home)
                 if now - since > self._view.cfg.absent_home_expiry_s:
-                    owned.pool.roster.memory.drop(home)
+                    owned.pool.state.permit_records.forget_home(home)
         for home in homes & self._absent_since.keys():
             self._absent_since.pop(home)
 
--- a/packages/node/src/tallyhall_node/settings.py
+++ b/packages/node/src/tallyhall_node/settings.py
@@ -13,33 +13,34 @@
 class NodeSettings:
     """Settings of a node.
 
-    beat_s: heartbeat interval. reask_s: time after which an unanswered permit
-    request is repeated. rebuild_s: maximum time that a new owner waits for
-    the reports of homes. duty_s: delay between instances that may propose the
-    same owner. window_s: length of the time window of request ids. locate_s:
-    how long callers cache a locate response. query_interval_s: interval of
-    takeover queries. max_query_attempts: maximum number of queries per
-    takeover. silent_home_timeout_s: how long the permits of a silent home are
-    kept. pause_s: length of a pause of the process after which an owner
-    requests new reports from all homes; less than the time after which others
-    may declare it dead. order_retry_s: time after which an order without
-    effect is repeated. pollers: number of instances that poll the KV.
-    retry_ratio: retries that each request adds to the budget. initial_retries:
-    initial retry budget. absent_home_expiry_s: time after which the records of
-    an absent home are removed.
+    heartbeat_s: heartbeat interval. permit_retry_s: time after which an
+    unanswered permit request is repeated. report_timeout_s: maximum time that
+    a new owner waits for the reports of homes. proposal_delay_s: delay between
+    instances that may propose the same owner. window_s: length of the time
+    window of request ids. locate_cache_s: how long callers cache a locate
+    response. query_interval_s: interval of takeover queries.
+    max_query_attempts: maximum number of queries per takeover.
+    silent_home_timeout_s: how long the permits of a silent home are kept.
+    max_pause_s: length of a pause of the process after which an owner requests
+    new reports from all homes; less than the time after which others may
+    declare it dead. order_retry_s: time after which an order without effect is
+    repeated. pollers: number of instances that poll the KV. retry_ratio:
+    retries that each request adds to the budget. initial_retries: initial
+    retry budget. absent_home_expiry_s: time after which the records of an
+    absent home are removed.
     """
 
     policy: str = TALLYHALL
-    beat_s: float = 0.5
-    reask_s: float = 1.0
-    rebuild_s: float = 1.5
-    duty_s: float = 0.4
+    heartbeat_s: float = 0.5
+    permit_retry_s: float = 1.0
+    report_timeout_s: float = 1.5
+    proposal_delay_s: float = 0.4
     window_s: float = 60.0
-    locate_s: float = 5.0
+    locate_cache_s: float = 5.0
     query_interval_s: float = 0.5
     max_query_attempts: int = 4
     silent_home_timeout_s: float = 10
-    pause_s: float = 1.25
+    max_pause_s: float = 1.25
     order_retry_s: float = 5
     pollers: int = 3
     retry_ratio: float = 0.1
--- a/packages/node/src/tallyhall_node/takeover.py
+++ b/packages/node/src/tallyhall_node/takeover.py
@@ -20,10 +20,10 @@
 
 from .actions import (
     Action,
-    Count,
-    Finish,
+    IncrementCounter,
     LogEvent,
     ProposeEdits,
+    RefuseRequest,
     RelayTo,
     RequestSpec,
 )
@@ -154,7 +154,7 @@
             entry = self._view.members.known(instance)
             address = entry.http if entry else ''
             return [
-                Count('relayed'),
+                IncrementCounter('relayed'),
                 RelayTo(str(takeover.rid), instance, address),
             ]
         if not holder or not takeover.rid.takeover:
@@ -191,7 +191,7 @@
     def _refuse_unknown(self, rid: RequestId) -> list[Action]:
         refusal = Refusal.of(Reason.takeover_unknown)
         return [
-            Count(f'refused.{refusal.reason}'),
+            IncrementCounter(f'refused.{refusal.reason}'),
             LogEvent(
                 Event.refused,
                 {
@@ -200,5 +200,5 @@
                     'executed': refusal.executed,
                 },
             ),
-            Finish(str(rid), refusal),
+            RefuseRequest(str(rid), refusal),
         ]
--- a/packages/node/src/tallyhall_node/view.py
+++ b/packages/node/src/tallyhall_node/view.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from tallyhall_core.ids import Home
+from tallyhall_core.ids import InstanceRun
 from tallyhall_core.messages import MemberEntry, Message, SharedValue
 from tallyhall_membership import assignment as assignments
 from tallyhall_membership import rendezvous
@@ -44,7 +44,7 @@
         return str(self.members.home)
 
     @property
-    def home(self) -> Home:
+    def home(self) -> InstanceRun:
         """Return this incarnation."""
         return self.members.home
 
--- a/packages/sources/src/tallyhall_sources/instance_list.py
+++ b/packages/sources/src/tallyhall_sources/instance_list.py
@@ -34,15 +34,15 @@
     endpoints: tuple[Endpoint, ...]
 
 
-class InstanceLister(Protocol):
+class InstanceListClient(Protocol):
     """Interface of an instance list."""
 
     def fetch(self) -> EndpointList:
         """Return the current list; raise PlatformError."""
 
 
-class EndpointSliceLister:
-    """InstanceLister for the EndpointSlice API."""
+class EndpointSliceClient:
+    """InstanceListClient for the EndpointSlice API."""
 
     def __init__(self, base: str, timeout_s: float) -> None:
         """Use the API at this base URL."""
--- a/packages/sources/src/tallyhall_sources/kv.py
+++ b/packages/sources/src/tallyhall_sources/kv.py
@@ -29,22 +29,22 @@
     def get(self, key: str) -> VersionedValue:
         """Return the value of a key; raise PlatformError."""
 
-    def swap(self, key: str, seen: int, content: bytes) -> bool:
+    def compare_and_swap(self, key: str, seen: int, content: bytes) -> bool:
         """Write if the revision of the key is `seen`, where 0 means absent.
 
         Returns whether it was written. After UnavailableError this is unknown.
         """
 
-    def wait_change(self, prefix: str, after: int, wait_s: float) -> bool:
+    def wait_for_change(self, prefix: str, after: int, wait_s: float) -> bool:
         """Wait for a change under a prefix; return whether there was one."""
 
     def grant_lease(self, ttl_s: int) -> str:
         """Create a lease and return its id."""
 
-    def swap_leased(self, key: str, content: bytes, lease: str) -> bool:
+    def create_with_lease(self, key: str, content: bytes, lease: str) -> bool:
         """Create a key with a lease if it is absent; return if created."""
 
-    def keep_lease(self, lease: str) -> bool:
+    def renew_lease(self, lease: str) -> bool:
         """Renew a lease; return False if it has expired."""
 
 
@@ -67,15 +67,15 @@
             return VersionedValue(b'', 0)
         return _decode_entry(found[0])
 
-    def swap(self, key: str, seen: int, content: bytes) -> bool:
+    def compare_and_swap(self, key: str, seen: int, content: bytes) -> bool:
         """Write if the revision of the key is `seen`."""
         return self._swap(key, seen, {'value': _encode(content)})
 
-    def swap_leased(self, key: str, content: bytes, lease: str) -> bool:
+    def create_with_lease(self, key: str, content: bytes, lease: str) -> bool:
         """Create a key with a lease if it is absent; return if created."""
         return self._swap(key, 0, {'value': _encode(content), 'lease': lease})
 
-    def wait_change(self, prefix: str, after: int, wait_s: float) -> bool:
+    def wait_for_change(self, prefix: str, after: int, wait_s: float) -> bool:
         """Wait for a change under a prefix; return whether there was one."""
         raw = prefix.encode()
         end = raw[:-1] + bytes([raw[-1] + 1])
@@ -103,7 +103,7 @@
         answer = self._http.call('POST', '/v3/lease/grant', {'TTL': ttl_s})
         return _field(answer, 'ID')
 
-    def keep_lease(self, lease: str) -> bool:
+    def renew_lease(self, lease: str) -> bool:
         """Renew a lease; return False if it has expired."""
         answer = self._http.call('POST', '/v3/lease/keepalive', {'ID': lease})
         renewed = answer.get('result')
--- a/packages/sources/src/tallyhall_sources/stored.py
+++ b/packages/sources/src/tallyhall_sources/stored.py
@@ -33,7 +33,7 @@
     return (_decompress(found.content), found.mod_revision)
 
 
-def change_text(
+def update_value(
     kv: KeyValue,
     key: str,
     change: Callable[[str], str],
@@ -55,7 +55,7 @@
             return text
         compressed = _compress(updated)
         try:
-            written = kv.swap(key, seen, compressed)
+            written = kv.compare_and_swap(key, seen, compressed)
         except UnavailableError as exc:
             # The write may have succeeded: the next read shows it.
             last_error = exc
--- a/packages/sources/src/tallyhall_sources/weights.py
+++ b/packages/sources/src/tallyhall_sources/weights.py
@@ -29,7 +29,7 @@
 class WeightStore(Protocol):
     """Interface of a weight store."""
 
-    def stat(self, model: str) -> Weights:
+    def get_metadata(self, model: str) -> Weights:
         """Return the metadata of a model's weights."""
 
 
@@ -41,7 +41,7 @@
         self._base = base.rstrip('/')
         self._pool = urllib3.PoolManager(retries=False, timeout=timeout_s)
 
-    def stat(self, model: str) -> Weights:
+    def get_metadata(self, model: str) -> Weights:
         """Return the metadata of a model's weights."""
         try:
             resp = self._pool.request('HEAD', f'{self._base}/{model}')
--- a/packages/table/src/tallyhall_table/edits.py
+++ b/packages/table/src/tallyhall_table/edits.py
@@ -75,7 +75,7 @@
     raise TypeError(type(row).__name__)
 
 
-def rows_of(table: Table, section: Section) -> dict[str, Row]:
+def rows_by_key(table: Table, section: Section) -> dict[str, Row]:
     """Return the rows of a section by key, in table order."""
     rows: tuple[Row, ...] = getattr(table, section)
     return {row_key(row): row for row in rows}
@@ -85,8 +85,8 @@
     """Return the row edits that turn `old` into `new`."""
     edits = []
     for section in SECTIONS:
-        before = rows_of(old, section)
-        after = rows_of(new, section)
+        before = rows_by_key(old, section)
+        after = rows_by_key(new, section)
         for key in sorted(before.keys() | after.keys()):
             if before.get(key) == after.get(key):
                 continue
@@ -104,7 +104,7 @@
     Raises TableError if the resulting table is inconsistent, for example if a
     limit refers to a service that another operator has removed.
     """
-    sections = {name: rows_of(newest, name) for name in SECTIONS}
+    sections = {name: rows_by_key(newest, name) for name in SECTIONS}
     for edit in edits:
         rows = sections[edit.section]
         current = rows.get(edit.key)
--- a/packages/table/src/tallyhall_table/store.py
+++ b/packages/table/src/tallyhall_table/store.py
@@ -7,7 +7,7 @@
 
 from expression import Error, Ok, Result
 from tallyhall_sources.kv import KeyValue
-from tallyhall_sources.stored import TABLE_KEY, change_text, read_text
+from tallyhall_sources.stored import TABLE_KEY, read_text, update_value
 
 from .edits import ChangeInfo, RowEdit, apply_edits, diff_tables, parse_table
 from .errors import Conflict
@@ -58,7 +58,7 @@
             return outcome.ok.model_dump_json()
 
         try:
-            text = change_text(self._kv, TABLE_KEY, update)
+            text = update_value(self._kv, TABLE_KEY, update)
         except _ConflictError as exc:
             return Error(exc.conflict)
         return Ok(parse_table(text))
--- a/tests/processes/test_table.py
+++ b/tests/processes/test_table.py
@@ -7,7 +7,7 @@
 from tallyhall_bench.fleet import Fleet
 from tallyhall_sources.errors import PlatformError
 from tallyhall_sources.kv import EtcdKeyValue
-from tallyhall_table.edits import RowEdit, rows_of
+from tallyhall_table.edits import RowEdit, rows_by_key
 from tallyhall_table.model import LimitRow
 from tallyhall_table.store import TableStore
 
@@ -29,7 +29,7 @@
 def _set_weight(fleet: Fleet, weight: float) -> int:
     address = fleet.platform['kv'].address
     store = TableStore(EtcdKeyValue(f'http://{address}', 5))
-    before = rows_of(store.read(), 'limits')[_KEY]
+    before = rows_by_key(store.read(), 'limits')[_KEY]
     assert isinstance(before, LimitRow)
     after = before.model_copy(update={'weight': weight})
     outcome = store.change((RowEdit('limits', _KEY, before, after),), 'test')
--- a/tests/unit/admission.py
+++ b/tests/unit/admission.py
@@ -5,11 +5,11 @@
 from tallyhall_admission.pool import Pool
 from tallyhall_admission.settings import PoolSettings
 from tallyhall_admission.upstream import UpstreamInfo
-from tallyhall_core.ids import Home, RequestId
+from tallyhall_core.ids import InstanceRun, RequestId
 from tallyhall_core.messages import Ask, Done
 from tallyhall_table.model import LimitRow, ServiceRow, Table, TierRow
 
-HOME = Home('entry-1', '0123456789ab')
+HOME = InstanceRun('entry-1', '0123456789ab')
 SERVICE = 'ledger'
 TIERS = ('audit', 'desk', 'batch')
 
@@ -41,13 +41,13 @@
     """Return a pool that issues permits from time 0."""
     new_pool = Pool(SERVICE, make_policy('tallyhall'), PoolSettings())
     new_pool.configure(table(**limits), 0)
-    new_pool.take_instances(
+    new_pool.apply_upstreams(
         tuple(
             UpstreamInfo(f'engine-{number}', f'127.0.0.1:{number + 1}')
             for number in range(upstreams)
         ),
     )
-    for upstream in new_pool.roster.available_upstreams(0):
+    for upstream in new_pool.state.available_upstreams(0):
         upstream.limit.limit = slots
     new_pool.ready = True
     return new_pool
--- a/tests/unit/cluster.py
+++ b/tests/unit/cluster.py
@@ -25,7 +25,7 @@
 
 from tests.unit import admission as build
 
-NAMES_OF_NODES = ('entry-1', 'entry-2', 'entry-3')
+NODE_NAMES = ('entry-1', 'entry-2', 'entry-3')
 MODEL_CALL = acts.RequestSpec(
     'foundry',
     build.SERVICE,
@@ -46,7 +46,7 @@
     query_interval_s=1,
     # Each step ticks a single node. With the default of 1.25 s all owners
     # would be suspended most of the time, and few requests dispatched.
-    pause_s=8,
+    max_pause_s=8,
     pool=PoolSettings(windows_kept=2),
     members=MemberSettings(dead_after=2.5),
 )
@@ -93,15 +93,15 @@
         self.kv_up = True
         self.ids: list[str] = []
         self.dispatches: collections.Counter[str] = collections.Counter()
-        self.said_no: set[str] = set()
+        self.refused_as_not_executed: set[str] = set()
         self.submissions: collections.Counter[str] = collections.Counter()
         self.taken_over: set[str] = set()
         self.hold_permit_requests = False
         self.unreachable_address = ''
         self.held_requests: list[Envelope] = []
-        for name in NAMES_OF_NODES:
+        for name in NODE_NAMES:
             self._start_node(name)
-        owner = self.nodes[rng.choice(NAMES_OF_NODES)]
+        owner = self.nodes[rng.choice(NODE_NAMES)]
         edit = assignments.OwnerEdit(build.SERVICE, '', owner.view.me)
         self._write_assignment((edit,))
         for node in self.nodes.values():
@@ -125,7 +125,7 @@
         """Return dispatched ids that were refused as not executed."""
         return [
             rid
-            for rid in self.said_no
+            for rid in self.refused_as_not_executed
             if self.dispatches[rid] and self.submissions[rid] == 1
         ]
 
@@ -167,7 +167,7 @@
                 rid, run.start.upstream, outcome, ended=ended
             )
             self._execute_all(node, node.on_result(result, self.now))
-            self.settle(now_and_then=False)
+            self.settle(advance_time=False)
             return True
         return False
 
@@ -200,14 +200,14 @@
         for node in tuple(self.nodes.values()):
             self._deliver_assignment(node)
 
-    def settle(self, *, now_and_then: bool) -> None:
+    def settle(self, *, advance_time: bool) -> None:
         """Deliver messages, apply proposals and dispatch runs until idle.
 
-        now_and_then: also advance the time, by 6 seconds in steps.
+        advance_time: also advance the time, by 6 seconds in steps.
         """
-        for _ in range(20 if now_and_then else 1):
+        for _ in range(20 if advance_time else 1):
             self._merge_members()
-            if now_and_then:
+            if advance_time:
                 self.now += 0.3
                 for node in self.nodes.values():
                     self._execute_all(node, node.tick(self.now))
@@ -319,7 +319,7 @@
     def _toggle_kv(self) -> None:
         self.kv_up = not self.kv_up
         for node in self.nodes.values():
-            node.on_kv(up=self.kv_up)
+            node.on_kv_status(up=self.kv_up)
         self._merge_members()
 
     def _apply_proposal(self) -> None:
@@ -356,7 +356,7 @@
         self._execute_all(node, node.on_result(result, self.now))
 
     def _kill(self) -> None:
-        name = self.rng.choice(NAMES_OF_NODES)
+        name = self.rng.choice(NODE_NAMES)
         self._start_node(name)
         node = self.nodes[name]
         if self.kv_up:
@@ -365,7 +365,7 @@
 
     def _suspect(self) -> None:
         node = self._any_node()
-        node.view.members.suspect(self.rng.choice(NAMES_OF_NODES))
+        node.view.members.suspect(self.rng.choice(NODE_NAMES))
 
     # -- execution of actions
 
@@ -387,7 +387,7 @@
                 )
             case acts.StartRun():
                 self.runs.append(FakeRun(node.view.me, action))
-            case acts.Finish():
+            case acts.RefuseRequest():
                 self._record_refusal(action.id, action.refusal)
             case acts.RelayTo():
                 self._relay(node, action)
@@ -398,7 +398,7 @@
             case acts.LogEvent():
                 if action.fields.get('verdict') == 'never':
                     self.taken_over.add(str(action.fields['id']))
-            case acts.CancelRun() | acts.Count():
+            case acts.CancelRun() | acts.IncrementCounter():
                 return
 
     def _relay(self, node: Node, action: acts.RelayTo) -> None:
@@ -427,7 +427,7 @@
 
     def _record_refusal(self, rid: str, refusal: Refusal) -> None:
         if refusal.executed == 'no':
-            self.said_no.add(rid)
+            self.refused_as_not_executed.add(rid)
 
     def _deliver_message(self, envelope: Envelope) -> None:
         for node in (*self.nodes.values(), *self.fenced):
@@ -449,7 +449,7 @@
 
     def _start_node(self, name: str) -> None:
         incarnation = new_incarnation()
-        number = NAMES_OF_NODES.index(name)
+        number = NODE_NAMES.index(name)
         entry = MemberEntry(
             instance=name,
             incarnation=incarnation,
@@ -463,7 +463,7 @@
         )
         node = Node(entry, _CFG, self.now)
         self.nodes[name] = node
-        node.on_kv(up=self.kv_up)
+        node.on_kv_status(up=self.kv_up)
         listed = instance_lists.InstanceList(
             tuple(
                 instance_lists.ListedUpstream(
@@ -494,7 +494,7 @@
         self.assignment = assignments.apply_edits(self.assignment, edits, 'x')
 
     def _any_node(self) -> Node:
-        return self.nodes[self.rng.choice(NAMES_OF_NODES)]
+        return self.nodes[self.rng.choice(NODE_NAMES)]
 
     def _node_of(self, home: str) -> Node | None:
         for node in (*self.nodes.values(), *self.fenced):
--- a/tests/unit/fake_kv.py
+++ b/tests/unit/fake_kv.py
@@ -22,7 +22,7 @@
         self._check()
         return self.entries.get(key, VersionedValue(b'', 0))
 
-    def swap(self, key: str, seen: int, content: bytes) -> bool:
+    def compare_and_swap(self, key: str, seen: int, content: bytes) -> bool:
         """Write if unchanged; the response may be lost."""
         self._check()
         if self.before_write:
@@ -36,7 +36,7 @@
             raise UnavailableError('response lost')
         return True
 
-    def wait_change(self, prefix: str, after: int, wait_s: float) -> bool:
+    def wait_for_change(self, prefix: str, after: int, wait_s: float) -> bool:
         """Return immediately."""
         return self.revision > after
 
@@ -44,11 +44,11 @@
         """Leases are not supported."""
         raise NotImplementedError
 
-    def swap_leased(self, key: str, content: bytes, lease: str) -> bool:
+    def create_with_lease(self, key: str, content: bytes, lease: str) -> bool:
         """Leases are not supported."""
         raise NotImplementedError
 
-    def keep_lease(self, lease: str) -> bool:
+    def renew_lease(self, lease: str) -> bool:
         """Leases are not supported."""
         raise NotImplementedError
 
--- a/tests/unit/test_admission_property.py
+++ b/tests/unit/test_admission_property.py
@@ -101,7 +101,7 @@
             UpstreamInfo(name, f'{name}:1', leaving=name in leaving)
             for name in _UPSTREAMS
         )
-        self.pool.take_instances(infos)
+        self.pool.apply_upstreams(infos)
 
     @rule(
         upstream=st.sampled_from(_UPSTREAMS),
--- a/tests/unit/test_at_most_once.py
+++ b/tests/unit/test_at_most_once.py
@@ -10,7 +10,11 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tallyhall_admission.memory import NEVER, PermitMemory, Recall
+from tallyhall_admission.permit_records import (
+    NEVER,
+    PermitLookup,
+    PermitRecords,
+)
 from tallyhall_core.ids import RequestId
 from tallyhall_membership.assignment import Assignment, OwnerEdit
 from tallyhall_node.actions import RequestSpec
@@ -18,9 +22,9 @@
 
 from tests.unit import admission as build
 from tests.unit.cluster import (
-    NON_IDEMPOTENT_CALL,
     MODEL_CALL,
-    NAMES_OF_NODES,
+    NODE_NAMES,
+    NON_IDEMPOTENT_CALL,
     Cluster,
 )
 
@@ -69,12 +73,14 @@
     assert taken > 10
 
 
-def _recall_nothing(memory: PermitMemory, rid: RequestId) -> Recall:
-    return Recall(NEVER)
+def _look_up_nothing(
+    permit_records: PermitRecords, rid: RequestId
+) -> PermitLookup:
+    return PermitLookup(NEVER)
 
 
 def test_double_dispatch_without_permit_memory() -> None:
-    with mock.patch.object(PermitMemory, 'recall', _recall_nothing):
+    with mock.patch.object(PermitRecords, 'look_up', _look_up_nothing):
         assert any(_explore(seed).double_dispatches() for seed in range(_SEEDS))
 
 
@@ -101,17 +107,17 @@
     prevents a permit for the home.
     """
     cluster = Cluster(random.Random(1))
-    cluster.settle(now_and_then=True)
+    cluster.settle(advance_time=True)
     owner = cluster.assignment.owners[build.SERVICE].owner
     owner_name = owner.partition('.')[0]
-    home, successor = (name for name in NAMES_OF_NODES if name != owner_name)
+    home, successor = (name for name in NODE_NAMES if name != owner_name)
     rid = cluster.submit_new(home)
     delayed_request = cluster.hold('ask')
     cluster.nodes[successor].view.members.suspect(home)
     cluster.unreachable_address = cluster.nodes[home].view.members.own.rpc
     cluster.hold_permit_requests = True
     cluster.submit_again(successor, rid)
-    cluster.settle(now_and_then=False)
+    cluster.settle(advance_time=False)
     cluster.hold_permit_requests = False
     assert [one.sender for one in cluster.held_requests] == [
         cluster.nodes[successor].view.me,
@@ -122,11 +128,11 @@
         Assignment.holder_of if fence else _holder_without_fence,
     ):
         cluster.release(delayed_request)
-        cluster.settle(now_and_then=False)
+        cluster.settle(advance_time=False)
     cluster.kill(owner_name)
     edit = OwnerEdit(build.SERVICE, owner, cluster.nodes[successor].view.me)
     cluster.change((edit,))
-    cluster.settle(now_and_then=True)
+    cluster.settle(advance_time=True)
     assert cluster.dispatches[rid] == dispatches
 
 
--- a/tests/unit/test_fatal_calls.py
+++ b/tests/unit/test_fatal_calls.py
@@ -12,7 +12,7 @@
 
 from tallyhall_node import actions as acts
 
-from tests.unit.cluster import MODEL_CALL, NAMES_OF_NODES, Cluster
+from tests.unit.cluster import MODEL_CALL, NODE_NAMES, Cluster
 
 _ATTEMPTS = 8
 # Terminations allowed before all nodes must know, and as many for the trials
@@ -27,18 +27,18 @@
     """Submit requests at each node in turn; return how many were sent."""
     dispatched = 0
     for number in range(_ATTEMPTS):
-        name = NAMES_OF_NODES[number % len(NAMES_OF_NODES)]
+        name = NODE_NAMES[number % len(NODE_NAMES)]
         rid = cluster.submit_new(name)
-        cluster.settle(now_and_then=False)
+        cluster.settle(advance_time=False)
         dispatched += cluster.end_run(rid, outcome, ended=ended)
         # A failed upstream is excluded for some time.
-        cluster.settle(now_and_then=True)
+        cluster.settle(advance_time=True)
     return dispatched
 
 
 def _cluster() -> Cluster:
     cluster = Cluster(random.Random(1), _CALL)
-    cluster.settle(now_and_then=True)
+    cluster.settle(advance_time=True)
     return cluster
 
 
@@ -46,7 +46,7 @@
     cluster = _cluster()
     ended = _send_attempts(cluster, acts.Outcome.broken, ended=True)
     assert 0 < ended <= _MAX_TERMINATIONS
-    assert cluster.said_no
+    assert cluster.refused_as_not_executed
 
 
 def test_new_owner_learns_of_earlier_terminations() -> None:
@@ -54,7 +54,7 @@
     cluster = _cluster()
     ended = _send_attempts(cluster, acts.Outcome.broken, ended=True)
     cluster.move_owner()
-    cluster.settle(now_and_then=True)
+    cluster.settle(advance_time=True)
     ended += _send_attempts(cluster, acts.Outcome.broken, ended=True)
     assert ended <= _MAX_TERMINATIONS
 
@@ -67,7 +67,7 @@
 
 def test_requests_without_digest_are_not_treated_as_equal() -> None:
     cluster = Cluster(random.Random(1), MODEL_CALL)
-    cluster.settle(now_and_then=True)
+    cluster.settle(advance_time=True)
     sent = _send_attempts(cluster, acts.Outcome.broken, ended=True)
     assert sent == _ATTEMPTS
 
@@ -75,8 +75,8 @@
 def test_served_request_is_cleared() -> None:
     cluster = _cluster()
     for outcome in (acts.Outcome.broken, acts.Outcome.complete):
-        rid = cluster.submit_new(NAMES_OF_NODES[0])
-        cluster.settle(now_and_then=False)
+        rid = cluster.submit_new(NODE_NAMES[0])
+        cluster.settle(advance_time=False)
         ended = outcome == acts.Outcome.broken
         assert cluster.end_run(rid, outcome, ended=ended)
     sent = _send_attempts(cluster, acts.Outcome.complete, ended=False)
@@ -85,11 +85,11 @@
 
 def test_attempts_of_suspect_run_one_at_a_time() -> None:
     cluster = _cluster()
-    first = cluster.submit_new(NAMES_OF_NODES[0])
-    cluster.settle(now_and_then=False)
+    first = cluster.submit_new(NODE_NAMES[0])
+    cluster.settle(advance_time=False)
     assert cluster.end_run(first, acts.Outcome.broken, ended=True)
-    cluster.settle(now_and_then=True)
-    again = [cluster.submit_new(name) for name in NAMES_OF_NODES]
-    cluster.settle(now_and_then=False)
+    cluster.settle(advance_time=True)
+    again = [cluster.submit_new(name) for name in NODE_NAMES]
+    cluster.settle(advance_time=False)
     sent = sum(cluster.dispatches[rid] for rid in again)
     assert sent == 1
--- a/tests/unit/test_ids.py
+++ b/tests/unit/test_ids.py
@@ -3,10 +3,10 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from tallyhall_core.ids import BadRequestIdError, Home, RequestId
+from tallyhall_core.ids import BadRequestIdError, InstanceRun, RequestId
 
 _HOMES = st.builds(
-    Home,
+    InstanceRun,
     st.from_regex('[a-z0-9-]{1,20}', fullmatch=True),
     st.from_regex('[0-9a-f]{12}', fullmatch=True),
 )
@@ -19,12 +19,12 @@
     takeover=st.booleans(),
 )
 def test_round_trip(
-    home: Home,
+    home: InstanceRun,
     epoch: int,
     window: int,
     takeover: bool,
 ) -> None:
-    rid = RequestId.mint(home, epoch, window, takeover=takeover)
+    rid = RequestId.generate(home, epoch, window, takeover=takeover)
     assert RequestId.parse(str(rid)) == rid
     assert str(rid).startswith(f'{home}.')
 
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -30,7 +30,7 @@
         self._until[lease] = self.now + ttl_s
         return lease
 
-    def swap_leased(self, key: str, content: bytes, lease: str) -> bool:
+    def create_with_lease(self, key: str, content: bytes, lease: str) -> bool:
         """Create the key if its current lease has expired."""
         self._check()
         holder = self._keys.get(key)
@@ -39,7 +39,7 @@
         self._keys[key] = lease
         return True
 
-    def keep_lease(self, lease: str) -> bool:
+    def renew_lease(self, lease: str) -> bool:
         """Renew the lease if it has not expired."""
         self._check()
         if self._until[lease] <= self.now:
@@ -89,13 +89,13 @@
 
 def test_only_engines_with_wrong_model_receive_orders() -> None:
     node = _node()
-    assert not node.orders_due(1)
-    node.controller.on_model('engine-0', 'ledger-1')
-    node.controller.on_model('engine-1', 'ledger-2')
-    orders = node.orders_due(2)
+    assert not node.due_orders(1)
+    node.controller.on_model_report('engine-0', 'ledger-1')
+    node.controller.on_model_report('engine-1', 'ledger-2')
+    orders = node.due_orders(2)
     assert [(one.upstream, one.fencing) for one in orders] == [('engine-0', 7)]
-    assert not node.orders_due(3)
-    assert node.orders_due(8)
+    assert not node.due_orders(3)
+    assert node.due_orders(8)
 
 
 def test_new_controller_waits_for_old_lease_to_expire() -> None:
--- a/tests/unit/test_pool.py
+++ b/tests/unit/test_pool.py
@@ -78,7 +78,7 @@
 
 def test_leaving_upstream_gets_no_requests() -> None:
     pool = build.pool(upstreams=2)
-    pool.take_instances(
+    pool.apply_upstreams(
         (
             UpstreamInfo('engine-0', '127.0.0.1:1', leaving=True),
             UpstreamInfo('engine-1', '127.0.0.1:2'),
@@ -126,7 +126,7 @@
 def test_lower_tier_is_revoked_for_a_higher_one() -> None:
     pool = build.pool(slots=2)
     _train(pool, 4)
-    pool.roster.available_upstreams(0)[0].limit.limit = 2
+    pool.state.available_upstreams(0)[0].limit.limit = 2
     low = [build.ask(number, 'batch', left_s=20) for number in (0, 1)]
     for asked in low:
         pool.ask(asked, 0)
@@ -141,7 +141,7 @@
 def test_highest_tier_is_shed_only_if_no_lower_one_runs() -> None:
     pool = build.pool(slots=1)
     _train(pool, 4)
-    pool.roster.available_upstreams(0)[0].limit.limit = 1
+    pool.state.available_upstreams(0)[0].limit.limit = 1
     pool.ask(build.ask(0, 'batch', left_s=20), 0)
     refused = []
     for number in range(1, 6):
@@ -167,7 +167,7 @@
 
 def test_new_owner_holds_lower_tiers_without_refusing_them() -> None:
     pool = build.pool()
-    pool.inherit_promises(0)
+    pool.inherit_holds(0)
     assert build.kinds(pool.ask(build.ask(0, 'audit'), 0.1)) == ['permit']
     assert not pool.ask(build.ask(1, 'batch'), 0.1)
     assert build.ids(pool.tick(2.1), 'permit') == [build.ask(1).id]
@@ -186,7 +186,7 @@
 def test_revocation_without_effect_is_repeated() -> None:
     pool = build.pool(slots=1)
     _train(pool, 4)
-    pool.roster.available_upstreams(0)[0].limit.limit = 1
+    pool.state.available_upstreams(0)[0].limit.limit = 1
     pool.ask(build.ask(0, 'batch', left_s=20), 0)
     out = pool.ask(build.ask(1, 'audit', left_s=4.5), 0)
     assert build.kinds(out) == ['revoke']
@@ -197,13 +197,13 @@
 def test_only_the_lowest_tier_is_shed_while_a_home_has_not_reported() -> None:
     pool = build.pool(slots=1)
     _train(pool, 4)
-    pool.roster.available_upstreams(0)[0].limit.limit = 1
+    pool.state.available_upstreams(0)[0].limit.limit = 1
     pool.ask(build.ask(0, 'audit', left_s=20), 0)
-    pool.set_blind(blind=True)
+    pool.set_unreported_work(exists=True)
     assert not pool.ask(build.ask(1, 'desk', left_s=6), 0)
     out = pool.ask(build.ask(2, 'batch', left_s=6), 0)
     assert build.kinds(out) == ['refused']
-    pool.set_blind(blind=False)
+    pool.set_unreported_work(exists=False)
     out = pool.ask(build.ask(3, 'desk', left_s=6), 0)
     assert build.kinds(out) == ['refused']
 
--- a/tests/unit/test_table.py
+++ b/tests/unit/test_table.py
@@ -6,7 +6,7 @@
 from tallyhall_core.messages import Revision, SharedValue
 from tallyhall_membership.shared import TABLE, SharedValues
 from tallyhall_sources.errors import PlatformError
-from tallyhall_table.edits import RowEdit, parse_row, rows_of
+from tallyhall_table.edits import RowEdit, parse_row, rows_by_key
 from tallyhall_table.errors import TableError
 from tallyhall_table.model import Row, Table, TierRow
 from tallyhall_table.store import TableStore
@@ -25,7 +25,7 @@
 
 
 def _row(store: TableStore, name: str) -> Row | None:
-    return rows_of(store.read(), 'tiers').get(name)
+    return rows_by_key(store.read(), 'tiers').get(name)
 
 
 def test_concurrent_edits_of_different_rows_are_both_applied() -> None:
@@ -33,7 +33,7 @@
     store = TableStore(kv)
     kv.before_write.append(lambda: _assert(_set(store, _tier('b', 1), None)))
     assert _set(store, _tier('a', 0), None)
-    assert set(rows_of(store.read(), 'tiers')) == {'a', 'b'}
+    assert set(rows_by_key(store.read(), 'tiers')) == {'a', 'b'}
     assert store.read().revision == 2
 
 
@@ -94,10 +94,10 @@
         row = _tier(name, 'ab'.index(name), deadline)
         if _set(store, row, read[operator].get(name)):
             model[name] = row
-            read[operator] = rows_of(store.read(), 'tiers')
+            read[operator] = rows_by_key(store.read(), 'tiers')
         else:
-            read[operator] = rows_of(store.read(), 'tiers')
-        assert rows_of(store.read(), 'tiers') == model
+            read[operator] = rows_by_key(store.read(), 'tiers')
+        assert rows_by_key(store.read(), 'tiers') == model
 
 
 @given(revisions=st.lists(st.integers(1, 20), max_size=20))
