--- a/packages/core/src/tallyhall_core/suspects.py
+++ b/packages/core/src/tallyhall_core/suspects.py
@@ -48,7 +48,7 @@
 _MAX_ENDS = 1_000_000
 
 
-class EndedRun(msgspec.Struct, frozen=True, array_like=True):
+class InterruptedRun(msgspec.Struct, frozen=True, array_like=True):
     """A request that was running when its upstream terminated.
 
     ends: the number of terminations counted for it, including this one.
@@ -58,12 +58,12 @@
     ends: Annotated[int, msgspec.Meta(ge=1, le=_MAX_ENDS)]
 
 
-class UpstreamEnd(msgspec.Struct, frozen=True, array_like=True):
+class UpstreamTermination(msgspec.Struct, frozen=True, array_like=True):
     """An upstream terminated while running these requests."""
 
     upstream: str
     at_s: float
-    runs: tuple[EndedRun, ...]
+    runs: tuple[InterruptedRun, ...]
 
 
 class Cleared(msgspec.Struct, frozen=True, array_like=True):
@@ -86,7 +86,7 @@
     given_up = 'given_up'
 
 
-class Standing(msgspec.Struct, frozen=True):
+class SuspectStatus(msgspec.Struct, frozen=True):
     """The number of terminations counted for a request, and the verdict.
 
     wait_s: seconds until it may run as a trial.
@@ -97,7 +97,7 @@
     wait_s: float = 0
 
 
-_FREE = Standing(0, Verdict.free)
+_FREE = SuspectStatus(0, Verdict.free)
 
 
 class _Termination(msgspec.Struct, frozen=True):
@@ -158,7 +158,7 @@
         """Create an empty collection."""
         self._records: dict[str, _Record] = {}
 
-    def take_end(self, end: UpstreamEnd, now: float) -> bool:
+    def record_termination(self, end: UpstreamTermination, now: float) -> bool:
         """Record a termination; return whether it changed any record.
 
         The same termination may be reported several times.
@@ -174,7 +174,7 @@
                 has_changed = True
         return has_changed
 
-    def served(self, content: str, now: float) -> Cleared | None:
+    def record_served(self, content: str, now: float) -> Cleared | None:
         """Record that a request was served here; return what to broadcast.
 
         Returns None if it was no suspect. The clocks of the instances that
@@ -188,7 +188,7 @@
         record.cleared_at = cleared.at_s
         return cleared
 
-    def take_cleared(self, cleared: Cleared, now: float) -> bool:
+    def record_cleared(self, cleared: Cleared, now: float) -> bool:
         """Record that another instance served a request.
 
         Returns whether it changed the record.
@@ -202,7 +202,7 @@
         record.cleared_at = at_s
         return True
 
-    def standing(self, content: str, now: float) -> Standing:
+    def status(self, content: str, now: float) -> SuspectStatus:
         """Return whether a request may run, and why."""
         record = self._records.get(content)
         if record is None:
@@ -210,11 +210,11 @@
         record.forget(now - KEPT_S)
         ends = record.ends
         if ends < _TRIAL_THRESHOLD:
-            return Standing(ends, Verdict.free)
+            return SuspectStatus(ends, Verdict.free)
         trial_at = record.newest_at + _TRIAL_DELAY_S.get(ends, KEPT_S)
         if now < trial_at:
-            return Standing(ends, Verdict.given_up, trial_at - now)
-        return Standing(ends, Verdict.trial)
+            return SuspectStatus(ends, Verdict.given_up, trial_at - now)
+        return SuspectStatus(ends, Verdict.trial)
 
     def _record(self, content: str, now: float) -> _Record:
         record = self._records.get(content)
--- a/packages/edge/src/tallyhall_edge/termination.py
+++ b/packages/edge/src/tallyhall_edge/termination.py
@@ -10,7 +10,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tallyhall_core.suspects import EndedRun
+from tallyhall_core.suspects import InterruptedRun
 from tallyhall_dispatch.desired import Upstream
 
 from .client import ClientConnection
@@ -25,7 +25,7 @@
 # longer than this.
 _CONNECT_TIMEOUT_S = 0.2
 
-EndCallback = Callable[[Upstream, tuple[EndedRun, ...]], None]
+EndCallback = Callable[[Upstream, tuple[InterruptedRun, ...]], None]
 
 
 class TerminationProbe:
@@ -35,10 +35,12 @@
         """Call `on_end` with a terminated upstream and the runs it had."""
         self._on_end = on_end
         # Interrupted runs of each upstream that is being probed.
-        self._lost: dict[str, list[EndedRun]] = {}
+        self._lost: dict[str, list[InterruptedRun]] = {}
         self._probes: dict[str, asyncio.Task[None]] = {}
 
-    def record_connection_lost(self, upstream: Upstream, run: EndedRun) -> None:
+    def record_connection_lost(
+        self, upstream: Upstream, run: InterruptedRun
+    ) -> None:
         """Record a run whose connection was lost and probe its upstream."""
         incarnation = upstream.incarnation
         self._lost.setdefault(incarnation, []).append(run)
--- a/packages/entry/src/tallyhall_entry/guard.py
+++ b/packages/entry/src/tallyhall_entry/guard.py
@@ -17,10 +17,10 @@
 from tallyhall_core.events import Event
 from tallyhall_core.suspects import (
     Cleared,
-    EndedRun,
-    Standing,
+    InterruptedRun,
+    SuspectStatus,
     Suspects,
-    UpstreamEnd,
+    UpstreamTermination,
     Verdict,
 )
 from tallyhall_dispatch.desired import Upstream
@@ -104,8 +104,8 @@
     def answered(self, content: str) -> None:
         """Record that a request succeeded."""
         now = self._wall_clock()
-        ends = self._suspects.standing(content, now).ends
-        cleared = self._suspects.served(content, now)
+        ends = self._suspects.status(content, now).ends
+        cleared = self._suspects.record_served(content, now)
         if cleared is None:
             return
         self._broadcast(EndRecords((), (cleared,)))
@@ -118,7 +118,7 @@
     ) -> None:
         """Record that the connection on which a request ran was closed."""
         self._probe.record_connection_lost(
-            upstream, EndedRun(content, permit.ends + 1)
+            upstream, InterruptedRun(content, permit.ends + 1)
         )
 
     def release(self, content: str) -> None:
@@ -135,7 +135,9 @@
             return
         records = EndRecords(
             tuple(
-                UpstreamEnd(ended.upstream, ended.at_s, _decode_runs(ended))
+                UpstreamTermination(
+                    ended.upstream, ended.at_s, _decode_runs(ended)
+                )
                 for ended in batch.ended
             ),
             tuple(Cleared(one.content, one.at_s) for one in batch.cleared),
@@ -153,8 +155,8 @@
 
     # -- implementation
 
-    def _standing(self, content: str) -> Standing:
-        standing = self._suspects.standing(content, self._wall_clock())
+    def _standing(self, content: str) -> SuspectStatus:
+        standing = self._suspects.status(content, self._wall_clock())
         if standing.verdict is Verdict.given_up:
             raise quarantined_error(content, standing.wait_s)
         if standing.verdict is Verdict.trial and self._is_claimed(content):
@@ -193,8 +195,12 @@
         if lease is not None:
             await self._recorder.release_trial(lease)
 
-    def _on_end(self, upstream: Upstream, runs: tuple[EndedRun, ...]) -> None:
-        end = UpstreamEnd(upstream.incarnation, self._wall_clock(), runs)
+    def _on_end(
+        self, upstream: Upstream, runs: tuple[InterruptedRun, ...]
+    ) -> None:
+        end = UpstreamTermination(
+            upstream.incarnation, self._wall_clock(), runs
+        )
         self._log.event(
             Event.upstream_ended,
             upstream=end.upstream,
@@ -209,17 +215,19 @@
         """Add records; return those that were not known yet."""
         now = self._wall_clock()
         ended = tuple(
-            end for end in records.ended if self._suspects.take_end(end, now)
+            end
+            for end in records.ended
+            if self._suspects.record_termination(end, now)
         )
         cleared = tuple(
             one
             for one in records.cleared
-            if self._suspects.take_cleared(one, now)
+            if self._suspects.record_cleared(one, now)
         )
         changed = {run.content for end in ended for run in end.runs}
         changed.update(one.content for one in cleared)
         for content in sorted(changed):
-            ends = self._suspects.standing(content, now).ends
+            ends = self._suspects.status(content, now).ends
             self._log.event(
                 Event.suspected,
                 content=content,
@@ -259,8 +267,8 @@
     return SharedGuard(peer_streams, recorder, log, time.time)
 
 
-def _decode_runs(message: peers_pb2.Ended) -> tuple[EndedRun, ...]:
-    return tuple(EndedRun(run.content, run.ends) for run in message.runs)
+def _decode_runs(message: peers_pb2.Ended) -> tuple[InterruptedRun, ...]:
+    return tuple(InterruptedRun(run.content, run.ends) for run in message.runs)
 
 
 def _has_records(records: EndRecords) -> bool:
--- a/packages/node/src/tallyhall_node/quarantine.py
+++ b/packages/node/src/tallyhall_node/quarantine.py
@@ -13,9 +13,9 @@
 from tallyhall_core.messages import Ask, Done, EndSeen
 from tallyhall_core.suspects import (
     KEPT_S,
-    EndedRun,
+    InterruptedRun,
     Suspects,
-    UpstreamEnd,
+    UpstreamTermination,
     Verdict,
 )
 
@@ -43,7 +43,7 @@
 
     def termination_count(self, request: Ask, now: float) -> int:
         """Return the number of terminations during runs of a call."""
-        return self._suspects.standing(request.content, now).ends
+        return self._suspects.status(request.content, now).ends
 
     def try_start(self, request: Ask, now: float) -> float:
         """Return for how many seconds a call is refused, 0 if it may run.
@@ -51,7 +51,7 @@
         While an attempt of a suspected call runs, other attempts with the same
         content are refused.
         """
-        standing = self._suspects.standing(request.content, now)
+        standing = self._suspects.status(request.content, now)
         if standing.verdict is Verdict.given_up:
             return standing.wait_s
         if not standing.ends:
@@ -76,7 +76,7 @@
                 returned.upstream, returned.content, returned.ends, now, now
             )
         elif returned.ok:
-            self._suspects.served(returned.content, now)
+            self._suspects.record_served(returned.content, now)
 
     def remove_attempt(self, request_id: str) -> None:
         """Record that an attempt is not running."""
@@ -101,8 +101,10 @@
         at_s: float,
         now: float,
     ) -> None:
-        run = EndedRun(content, ends)
-        self._suspects.take_end(UpstreamEnd(upstream, at_s, (run,)), now)
+        run = InterruptedRun(content, ends)
+        self._suspects.record_termination(
+            UpstreamTermination(upstream, at_s, (run,)), now
+        )
 
 
 class ObservedTerminations:
--- a/packages/platform/src/tallyhall_platform/end_records.py
+++ b/packages/platform/src/tallyhall_platform/end_records.py
@@ -15,7 +15,7 @@
 
 import msgspec
 from tallyhall_core.events import Event
-from tallyhall_core.suspects import KEPT_S, Cleared, UpstreamEnd
+from tallyhall_core.suspects import KEPT_S, Cleared, UpstreamTermination
 
 from .call_counts import CallCause
 from .errors import ConditionFailedError, LeaseEndedError, StoreError
@@ -37,7 +37,7 @@
 class EndRecords(msgspec.Struct, frozen=True):
     """Upstreams that ended, and suspect requests answered since then."""
 
-    ended: tuple[UpstreamEnd, ...]
+    ended: tuple[UpstreamTermination, ...]
     cleared: tuple[Cleared, ...]
 
 
@@ -68,14 +68,14 @@
         self._log = log
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._ended: list[UpstreamEnd] = []
+        self._ended: list[UpstreamTermination] = []
         self._cleared: list[Cleared] = []
         self._has_records = asyncio.Event()
         self._write_count = 0
         self._lease: int | None = None
         self._lease_reused_until: float = 0
 
-    def record_termination(self, end: UpstreamEnd) -> None:
+    def record_termination(self, end: UpstreamTermination) -> None:
         """Queue the end of an upstream for writing."""
         self._ended.append(end)
         self._has_records.set()
--- a/tests/platform/test_guard.py
+++ b/tests/platform/test_guard.py
@@ -11,7 +11,7 @@
 import pytest
 from tallyhall_bench.ports import free_ports
 from tallyhall_core.refusals import Reason, RefusedError
-from tallyhall_core.suspects import EndedRun, UpstreamEnd
+from tallyhall_core.suspects import InterruptedRun, UpstreamTermination
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.options import Listening
 from tallyhall_entry.guard import SharedGuard
@@ -41,8 +41,8 @@
 
 def _records(ends: int) -> EndRecords:
     """Return the records of a request after this many upstream crashes."""
-    runs = (EndedRun('x', ends),)
-    return EndRecords((UpstreamEnd(f'u{ends}', _NOW_S, runs),), ())
+    runs = (InterruptedRun('x', ends),)
+    return EndRecords((UpstreamTermination(f'u{ends}', _NOW_S, runs),), ())
 
 
 @contextlib.asynccontextmanager
@@ -162,7 +162,7 @@
         writing.cancel()
 
 
-def _stored(store: StoreStandIn) -> list[UpstreamEnd]:
+def _stored(store: StoreStandIn) -> list[UpstreamTermination]:
     stored = [store.item(key) for key in store.keys(END_RECORDS_PREFIX)]
     return [
         end
@@ -206,7 +206,7 @@
     async with _store() as (_, address):
         fleet = _Fleet(size, _recorder(address))
         for serial in range(10):
-            run = EndedRun(f'run {serial}', 3)
+            run = InterruptedRun(f'run {serial}', 3)
             fleet.sees_end(_HUBS + serial, run)
         fleet.deliver()
         await asyncio.sleep(_FORWARDED_S)
@@ -237,7 +237,7 @@
             self.peer_streams[-1].is_hub = number < _HUBS
             self.guards.append(guard)
 
-    def sees_end(self, number: int, run: EndedRun) -> None:
+    def sees_end(self, number: int, run: InterruptedRun) -> None:
         """Let an instance detect that an upstream crashed during a run."""
         upstream = Upstream('u', 'svc', HOST, 1, 'a', 9, leaving=False)
         self.guards[number]._on_end(upstream, (run,))  # noqa: SLF001
