--- a/packages/dispatch/src/tallyhall_dispatch/gate.py
+++ b/packages/dispatch/src/tallyhall_dispatch/gate.py
@@ -1,8 +1,8 @@
-"""Whether a request may enter: route, API key, freshness, quota.
+"""Admission of requests by route, API key, state freshness and quota.
 
-Everything is decided from this instance's own state. The order matters to
-callers: without a desired state nothing is known, so nobody is told that a
-path or key does not exist.
+All checks use this instance's local state. Their order is visible to callers:
+an instance without a desired state knows no routes or keys, so it does not
+answer that a path or a key does not exist.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 from .desired import DesiredState, Route, Workspace
 from .freshness import Freshness
-from .quota import Quotas, QuotaSeen
+from .quota import Quotas, QuotaState
 from .quota_limits import QuotaBounds
 from .retries import RetryBudget, RetryLimits
 from .routing import Router, pick_service
 
-# Told to callers where only time helps: until a restarted instance has read
-# the desired state, or a lost store is back. Seconds.
-_STATE_RETRY_S = 0.5
+# Retry-after time in seconds while the desired state is missing or stale: until
+# a restarted instance has read it, or the store is reachable again.
+_STATE_RETRY_AFTER_S = 0.5
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """A request that may run, and on what grounds.
+    """An admitted request and the data that admission was based on.
 
-    over_quota_s: 0, or the time until the request would fit into the quota
-    of its workspace; it then runs on places that nobody else needs. seen:
-    what was known of the quota, None without one. charged_at: when it was
-    charged.
+    over_quota_s: 0, or the time until the request would fit into the quota of
+    its workspace; such a request runs only on slots that are otherwise free.
+    quota_state: what was known about the quota, None if there is none.
+    charged_at: when the quota was charged.
     """
 
     route: Route
@@ -40,35 +40,35 @@
     charged: float
     version: int
     over_quota_s: float = 0
-    seen: QuotaSeen | None = None
+    quota_state: QuotaState | None = None
     charged_at: float = 0
 
 
 class OverQuotaError(RefusedError):
-    """A request is refused for the quota of its workspace."""
+    """A request was refused because its workspace is over its quota."""
 
     def __init__(
         self,
         refusal: Refusal,
-        seen: QuotaSeen | None,
+        quota_state: QuotaState | None,
         workspace: str,
-        asked: float,
+        amount: float,
     ) -> None:
-        """Keep the refusal and what decided: what was asked, and of whose."""
+        """Store the refusal, the quota state, the workspace and the amount."""
         super().__init__(refusal)
-        self.seen = seen
+        self.quota_state = quota_state
         self.workspace = workspace
-        self.asked = asked
+        self.amount = amount
 
 
 class _Charge(msgspec.Struct, frozen=True):
     amount: float
     over_quota_s: float = 0
-    seen: QuotaSeen | None = None
+    quota_state: QuotaState | None = None
 
 
-class Gate:
-    """Lets requests in, by the newest desired state."""
+class AdmissionGate:
+    """Admits requests according to the latest desired state."""
 
     def __init__(
         self,
@@ -89,11 +89,11 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, -1 before the first."""
+        """Return the version of the desired state, -1 before the first one."""
         return -1 if self._router is None else self._router.state.version
 
-    def take_state(self, state: DesiredState) -> None:
-        """Put a newer desired state in force."""
+    def apply_state(self, state: DesiredState) -> None:
+        """Apply a newer desired state."""
         self._router = Router(state)
         self.quotas.configure(state.workspaces)
 
@@ -105,10 +105,10 @@
         tokens: int,
         now: float,
     ) -> Admitted:
-        """Return the grounds on which a request enters; raise RefusedError."""
+        """Admit a request or raise RefusedError."""
         router = self._router
         if router is None:
-            raise _refused(Reason.not_ready, _STATE_RETRY_S)
+            raise _refused(Reason.not_ready, _STATE_RETRY_AFTER_S)
         route = router.route(host, path)
         if route is None:
             self._check_fresh(now)
@@ -121,7 +121,7 @@
                 raise _refused(Reason.unknown_key)
         charge = self._charge(workspace, tokens, now)
         service = pick_service(route, self._rng)
-        self.budget(service).request(now)
+        self.budget(service).record_request(now)
         return Admitted(
             route,
             service,
@@ -130,31 +130,31 @@
             charge.amount,
             router.state.version,
             charge.over_quota_s,
-            charge.seen,
+            charge.quota_state,
             now,
         )
 
-    def still_holds(self, admitted: Admitted, now: float) -> bool:
-        """Return whether a request may still be sent after its wait."""
+    def is_still_valid(self, admitted: Admitted, now: float) -> bool:
+        """Return whether a request may still be sent after it was queued."""
         if admitted.workspace is None or self._router is None:
             return True
-        if not self.freshness.holds(now):
+        if not self.freshness.is_valid(now):
             return False
         return self._router.workspace(admitted.key) is not None
 
-    def give_back(self, admitted: Admitted, now: float) -> None:
-        """Return the quota of a request that did not run."""
+    def refund(self, admitted: Admitted, now: float) -> None:
+        """Refund the quota charged for a request that did not run."""
         if admitted.workspace is not None:
-            self.quotas.give_back(
+            self.quotas.refund(
                 admitted.workspace.name,
                 admitted.charged,
                 admitted.charged_at,
                 now,
             )
 
-    def may_repeat(self, service: str, now: float) -> bool:
-        """Spend one further send; return whether the budget allows it."""
-        return self.budget(service).take(now, self.instances)
+    def charge_retry(self, service: str, now: float) -> bool:
+        """Charge a retry to the budget; return whether it is allowed."""
+        return self.budget(service).try_retry(now, self.instances)
 
     def budget(self, service: str) -> RetryBudget:
         """Return the retry budget of a service."""
@@ -165,8 +165,8 @@
         return budget
 
     def _check_fresh(self, now: float) -> None:
-        if not self.freshness.holds(now):
-            raise _refused(Reason.state_not_confirmed, _STATE_RETRY_S)
+        if not self.freshness.is_valid(now):
+            raise _refused(Reason.state_not_confirmed, _STATE_RETRY_AFTER_S)
 
     def _charge(
         self,
@@ -179,16 +179,18 @@
         amount: float = 1
         if workspace.in_tokens:
             amount = tokens or workspace.plain_tokens
-        seen = self.quotas.seen(workspace.name, now)
-        wait_s = self.quotas.take(workspace.name, amount, now)
-        if wait_s and not self.quotas.take_spare(workspace.name, amount, now):
+        quota_state = self.quotas.state(workspace.name, now)
+        wait_s = self.quotas.charge(workspace.name, amount, now)
+        if wait_s and not self.quotas.charge_over_quota(
+            workspace.name, amount, now
+        ):
             raise OverQuotaError(
                 Refusal.of(Reason.rate_limited, retry_after=wait_s),
-                seen,
+                quota_state,
                 workspace.name,
                 amount,
             )
-        return _Charge(amount, wait_s, seen)
+        return _Charge(amount, wait_s, quota_state)
 
 
 def _refused(reason: Reason, retry_after: float | None = None) -> RefusedError:
--- /dev/null
+++ b/packages/dispatch/src/tallyhall_dispatch/upstream_state.py
@@ -0,0 +1,241 @@
+"""The load, speed and recent failures of one upstream.
+
+The upstreams of a service differ in speed by a factor of five and slow down as
+their batch fills. Both effects are estimated from the requests that they run.
+"""
+
+from __future__ import annotations
+
+import math
+
+import msgspec
+
+from .desired import Upstream
+from .jobs import NOT_SENT, AttemptOutcome, Job, RunReport
+from .token_bucket import TokenBucket
+
+# Weight of the latest sample in a moving average: ten samples make up four
+# fifths of it.
+_SAMPLE_WEIGHT = 0.15
+# Defaults until the first sample: seconds per event, seconds per prompt token,
+# and seconds per plain request.
+DEFAULT_EVENT_S = 0.03
+DEFAULT_PREFILL_TOKEN_S = 0.00003
+DEFAULT_PLAIN_S = 0.05
+# Minimum prompt length, in tokens, for a sample of the prefill speed. Fixed
+# costs dominate the time of shorter prompts.
+_MIN_PREFILL_TOKENS = 400
+# Lower bound for the time that a request occupies its slot, in seconds.
+_MIN_HOLD_S = 0.005
+# Part of the time to the first event that does not depend on the prompt, in
+# seconds.
+FIXED_FIRST_EVENT_S = 0.03
+# Seconds for which a failing upstream is ejected. Each further consecutive
+# failure doubles the time, up to the maximum.
+_EJECTION_S = 0.5
+_MAX_EJECTION_S = 4.0
+# Consecutive failures after which an upstream is ejected. Single lost responses
+# and single errors occur on healthy upstreams too.
+_FAILURES_TO_EJECT = 3
+
+# Minimum number of events in a response for a sample of its longest pause.
+# Short responses seldom contain a long pause.
+_MIN_PAUSE_EVENTS = 6
+# Number of mean deviations added to the average longest pause, so that
+# responses with longer pauses than usual are still on time.
+_PAUSE_DEVIATIONS = 1.0
+
+_FAILURES = frozenset(
+    (
+        AttemptOutcome.failed,
+        AttemptOutcome.unknown,
+        AttemptOutcome.broken,
+        AttemptOutcome.unsent,
+    ),
+)
+
+
+class RunningJob(msgspec.Struct):
+    """A job that runs on an upstream.
+
+    prefill_tokens_ahead: prompt tokens that were in prefill when the job
+    started.
+    """
+
+    job: Job
+    prefill_tokens_ahead: int
+    in_prefill: bool = True
+
+
+class UpstreamState:
+    """The state of one upstream incarnation, as known to this instance."""
+
+    def __init__(self, upstream: Upstream) -> None:
+        """Create the state of an upstream that has not run anything yet."""
+        self.upstream = upstream
+        # Cached because it is read for each pair of job and upstream, and is
+        # constant while other fields of the upstream change.
+        self.incarnation = upstream.incarnation
+        self.runs: dict[str, RunningJob] = {}
+        # Prompt tokens of the runs whose response has not started.
+        self.prefill_tokens = 0
+        # None until the first sample, which replaces the default completely.
+        # Otherwise it would take ten jobs to detect an engine that is twice as
+        # slow.
+        self._event_s: float | None = None
+        self._token_s: float | None = None
+        self._plain_s: float | None = None
+        # Moving average and mean deviation of the longest pause in a response.
+        self._pause_s: float | None = None
+        self._pause_deviation_s: float = 0
+        # No default, so that no request is refused because of one.
+        self.service_time_s: float | None = None
+        self._ejected_until: float = 0
+        self._consecutive_failures = 0
+        # For the rate limit announced by the upstream, None if there is none.
+        self.bucket: TokenBucket | None = None
+
+    @property
+    def slot_release_rate(self) -> float:
+        """Return how many slots become free per second, 0 if unknown."""
+        if self.service_time_s is None:
+            return 0
+        rate = self.upstream.slots / max(_MIN_HOLD_S, self.service_time_s)
+        return rate if self.bucket is None else min(rate, self.bucket.rate)
+
+    @property
+    def token_s(self) -> float:
+        """Return the expected prefill time per prompt token."""
+        return self._token_s or DEFAULT_PREFILL_TOKEN_S
+
+    def free_slots(self, share: float) -> int:
+        """Return how many more requests may run in this share of the slots."""
+        slots = math.ceil(self.upstream.slots * share)
+        return max(1, slots) - len(self.runs)
+
+    def has_slot(self, share: float, now: float) -> bool:
+        """Return whether a request may start here now."""
+        if self.free_slots(share) <= 0:
+            return False
+        return self.bucket is None or self.bucket.has_token(now)
+
+    def is_ejected(self, now: float) -> bool:
+        """Return whether the upstream is ejected because of its failures."""
+        return now < self._ejected_until
+
+    @property
+    def has_suspect_in_prefill(self) -> bool:
+        """Return whether a suspect runs here that has no response yet."""
+        return any(
+            run.in_prefill and run.job.suspect_digest
+            for run in self.runs.values()
+        )
+
+    def first_s(self, job: Job) -> float:
+        """Return the expected time to the first event of a job."""
+        if not job.output_tokens:
+            return self._plain_s or DEFAULT_PLAIN_S
+        tokens = self.prefill_tokens + job.prompt_tokens
+        return FIXED_FIRST_EVENT_S + tokens * self.token_s
+
+    def total_s(self, job: Job, events: float) -> float:
+        """Return the expected time to the last of this number of events."""
+        if not job.output_tokens:
+            load = 1 + len(self.runs) / self.upstream.slots
+            return load * (self._plain_s or DEFAULT_PLAIN_S)
+        return self.first_s(job) + events * (self._event_s or DEFAULT_EVENT_S)
+
+    def meets_pause_limit(self, job: Job, event_tokens: int) -> bool:
+        """Return whether no pause in the response should exceed the limit.
+
+        The engines of a service differ in speed by a factor of five. On an
+        engine that needs longer for one event than the route allows, a response
+        is late no matter how early it starts.
+        """
+        if not job.pause_s or self._pause_s is None:
+            return True
+        if job.output_tokens < _MIN_PAUSE_EVENTS * event_tokens:
+            return True
+        longest_s = self._pause_s + _PAUSE_DEVIATIONS * self._pause_deviation_s
+        return longest_s <= job.pause_s
+
+    def grant(self, job: Job) -> None:
+        """Record that a job runs here."""
+        self.runs[job.key] = RunningJob(job, self.prefill_tokens)
+        self.prefill_tokens += job.prompt_tokens
+        if self.bucket is not None:
+            self.bucket.take_token()
+
+    def drop(self, key: str) -> None:
+        """Remove a job without taking samples from it."""
+        run = self.runs.pop(key, None)
+        if run is not None:
+            self._end_prefill(run)
+
+    def record_first_byte(self, key: str) -> None:
+        """Record that the prefill of a job is complete."""
+        run = self.runs.get(key)
+        if run is not None:
+            self._end_prefill(run)
+
+    def finish(self, key: str, report: RunReport, now: float) -> None:
+        """Remove a job that ended and update the estimates from its report."""
+        run = self.runs.pop(key, None)
+        if run is None:
+            return
+        self._end_prefill(run)
+        if self.bucket is not None and report.ending in NOT_SENT:
+            self.bucket.return_token()
+        self._update_ejection(report.ending, now)
+        if report.total_s:
+            self.service_time_s = _moving_average(
+                self.service_time_s, report.total_s
+            )
+        if report.ending is not AttemptOutcome.answered:
+            return
+        if not run.job.output_tokens:
+            self._plain_s = _moving_average(self._plain_s, report.total_s)
+            return
+        if report.events > 1:
+            event_s = report.stream_s / (report.events - 1)
+            self._event_s = _moving_average(self._event_s, event_s)
+        if report.events >= _MIN_PAUSE_EVENTS:
+            self._sample_pause(report.pause_s)
+        tokens = run.prefill_tokens_ahead + run.job.prompt_tokens
+        if report.first_s is not None and tokens >= _MIN_PREFILL_TOKENS:
+            prefill_s = max(0, report.first_s - FIXED_FIRST_EVENT_S)
+            self._token_s = _moving_average(self._token_s, prefill_s / tokens)
+
+    def _sample_pause(self, pause_s: float) -> None:
+        if self._pause_s is not None:
+            deviation_s = abs(pause_s - self._pause_s)
+            self._pause_deviation_s = _moving_average(
+                self._pause_deviation_s, deviation_s
+            )
+        self._pause_s = _moving_average(self._pause_s, pause_s)
+
+    def _end_prefill(self, run: RunningJob) -> None:
+        if run.in_prefill:
+            run.in_prefill = False
+            self.prefill_tokens -= run.job.prompt_tokens
+
+    def _update_ejection(self, ending: AttemptOutcome, now: float) -> None:
+        if ending is AttemptOutcome.answered:
+            self._consecutive_failures = 0
+            self._ejected_until = 0
+            return
+        if ending not in _FAILURES:
+            return
+        self._consecutive_failures += 1
+        # If nothing listens there, one refused connection is sufficient.
+        threshold = 1 if ending is AttemptOutcome.unsent else _FAILURES_TO_EJECT
+        excess = self._consecutive_failures - threshold
+        if excess >= 0:
+            ejection_s = min(_MAX_EJECTION_S, _EJECTION_S * 2**excess)
+            self._ejected_until = now + ejection_s
+
+
+def _moving_average(average: float | None, sample: float) -> float:
+    if average is None:
+        return sample
+    return average + _SAMPLE_WEIGHT * (sample - average)
--- /dev/null
+++ b/packages/dispatch/src/tallyhall_dispatch/urgency_stats.py
@@ -0,0 +1,93 @@
+"""Scheduling order of urgency classes under overload.
+
+The most urgent class always goes first. Strict priority among the others would
+starve the least urgent class as soon as the engines are saturated, although its
+jobs may be the smallest. Therefore the class with the lowest fraction of jobs
+served in time goes first, with a bias in favor of more urgent classes so that
+they are not served less often than less urgent ones.
+"""
+
+from __future__ import annotations
+
+from .windows import SlidingSum
+
+# Weight of the newest job in the moving average of its class: fifty jobs, about
+# two seconds of one class, replace two thirds of the average.
+_SMOOTHING = 0.02
+# Difference of the served fraction at which the next less urgent class goes
+# first.
+_URGENCY_BIAS = 0.05
+_MOST_URGENT = 0
+_TOP_RANK = -1.0
+# Window of the grant rate in seconds, about the time for which jobs wait, and
+# its number of buckets.
+_RATE_WINDOW_S = 1.0
+_RATE_BUCKETS = 10
+
+
+class ServedFractions:
+    """Fraction of the jobs of each urgency class that was served in time."""
+
+    def __init__(self) -> None:
+        """Start as if all jobs had been served in time."""
+        self._fractions: dict[int, float] = {}
+
+    def record(self, urgency: int, *, served: bool) -> None:
+        """Record whether a job was served in time."""
+        fraction = self._fractions.get(urgency, 1)
+        self._fractions[urgency] = fraction + _SMOOTHING * (served - fraction)
+
+    def rank(self, urgency: int) -> float:
+        """Return the sort key of an urgency class; the lowest goes first."""
+        if urgency <= _MOST_URGENT:
+            return _TOP_RANK
+        return self._fractions.get(urgency, 1) + _URGENCY_BIAS * urgency
+
+
+class ResponseLengths:
+    """Moving average of the number of response events per urgency class.
+
+    The token limit that callers state is about ten times the actual length.
+    Estimates based on it would be dominated by the decoding time, which would
+    hide how long an engine's prefill takes.
+    """
+
+    def __init__(self) -> None:
+        """Start without responses."""
+        self._events: dict[int, float] = {}
+
+    def record(self, urgency: int, events: int) -> None:
+        """Record the length of a response."""
+        known = self._events.get(urgency, events)
+        self._events[urgency] = known + _SMOOTHING * (events - known)
+
+    def events(self, urgency: int, unknown: float) -> float:
+        """Return the expected length of a response, `unknown` without data."""
+        return self._events.get(urgency, unknown)
+
+
+class GrantRates:
+    """Slots granted per second to each urgency class."""
+
+    def __init__(self) -> None:
+        """Start without grants."""
+        self._grants: dict[int, SlidingSum] = {}
+
+    def record(self, urgency: int, now: float) -> None:
+        """Record that a job was granted a slot."""
+        grants = self._grants.get(urgency)
+        if grants is None:
+            grants = SlidingSum(_RATE_WINDOW_S, _RATE_BUCKETS)
+            self._grants[urgency] = grants
+        grants.add(1, now)
+
+    def per_s(self, urgency: int, now: float) -> float:
+        """Return the grant rate of one urgency class."""
+        grants = self._grants.get(urgency)
+        return 0 if grants is None else grants.total(now) / _RATE_WINDOW_S
+
+    def above(self, urgency: int, now: float) -> float:
+        """Return the grant rate of all more urgent classes."""
+        return sum(
+            self.per_s(other, now) for other in self._grants if other < urgency
+        )
--- /dev/null
+++ b/packages/edge/src/tallyhall_edge/request_context.py
@@ -0,0 +1,73 @@
+"""The state of a request that this instance handles."""
+
+from __future__ import annotations
+
+import msgspec
+from tallyhall_dispatch.gate import Admitted
+from tallyhall_dispatch.jobs import SlotGrant
+
+from .dialect import RequestInfo
+from .exchange import Exchange
+from .guard import Permit
+from .relay import Relay
+
+ANSWERED = 'answered'
+
+
+class RequestContext(msgspec.Struct):
+    """The state of an admitted request; times of the event loop, in seconds.
+
+    end_at: deadline of the request. last_event: number of the newest event
+    that the caller has. content: digest of the requested content.
+    since_first_s: time between the caller's first attempt and this one.
+    may_have_run: sends that an upstream may have executed. retry_charged:
+    whether the retry budget has already been spent for the next send.
+    waited_s: wait for the slot of the last send; total_wait_s: sum over all
+    sends; retry_wait_s: sum over all but the first. pause_s: longest pause
+    between two events of one send; resumed_pause_s: longest pause between the
+    last event of one send and the first of the next.
+    """
+
+    exchange: Exchange
+    call: RequestInfo
+    admitted: Admitted
+    end_at: float
+    last_event: int | None
+    content: str
+    since_first_s: float = 0
+    excluded: set[str] = msgspec.field(default_factory=set)
+    sends: int = 0
+    may_have_run: int = 0
+    retry_charged: bool = False
+    # The permit of the current send.
+    permit: Permit | None = None
+    waited_s: float = 0
+    total_wait_s: float = 0
+    retry_wait_s: float = 0
+    forecast_s: float = 0
+    first_sent_at: float = 0
+    sent_at: float = 0
+    pause_s: float = 0
+    resumed_pause_s: float = 0
+    begun: bool = False
+    outcome: str = ''
+    # The answer of the last send.
+    relay: Relay | None = None
+
+    @property
+    def request_id(self) -> str:
+        """Return the caller's request id as text."""
+        return self.call.id_text
+
+
+def record_send(context: RequestContext, grant: SlotGrant, now: float) -> None:
+    """Record that a request is sent now, after waiting for its slot."""
+    context.sends += 1
+    context.waited_s = grant.waited_s
+    context.total_wait_s += grant.waited_s
+    context.forecast_s = grant.forecast_s
+    context.sent_at = now
+    if context.sends == 1:
+        context.first_sent_at = now
+        return
+    context.retry_wait_s += grant.waited_s
--- a/packages/edge/src/tallyhall_edge/request_log.py
+++ b/packages/edge/src/tallyhall_edge/request_log.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of each request."""
+"""Log events and metrics of requests."""
 
 from __future__ import annotations
 
@@ -7,37 +7,39 @@
 from tallyhall_core.refusals import Refusal, RefusedError
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.gate import Admitted, OverQuotaError
-from tallyhall_dispatch.jobs import Ending, Grant, RunReport
-from tallyhall_dispatch.quota import QuotaSeen
+from tallyhall_dispatch.jobs import AttemptOutcome, RunReport, SlotGrant
+from tallyhall_dispatch.quota import QuotaState
 
-from .dialect import CallInfo
+from .dialect import RequestInfo
 from .lateness import lateness
-from .scheduling import GivenUpError
+from .request_context import ANSWERED, RequestContext
+from .scheduling import JobRejectedError
 from .telemetry import Telemetry
-from .visit import ANSWERED, Visit
 
 _MILLI = 1000
-# Characters of a cause; it may hold what an upstream sent.
-_SHOWN_CAUSE = 100
-# Unread headers that are told by name; an upstream may make up any number.
-_MOST_UNREAD = 20
+# Maximum length of a logged cause, in characters; it may contain bytes that an
+# upstream sent.
+_MAX_CAUSE_CHARS = 100
+# Maximum number of unknown header names that are logged; an upstream could send
+# any number of them.
+_MAX_UNREAD_HEADERS = 20
 
 
 class RequestLog:
-    """Tells of requests by their ids."""
+    """Logs the steps of requests under their ids."""
 
     def __init__(self, telemetry: Telemetry) -> None:
-        """Tell it to this."""
+        """Log to this telemetry."""
         self._telemetry = telemetry
         self._unread: set[str] = set()
 
     def admitted(
         self,
-        call: CallInfo,
+        call: RequestInfo,
         admitted: Admitted,
         confirmed_s_ago: float | None,
     ) -> None:
-        """Log an admission and what decided it."""
+        """Log an admission and the values that decided it."""
         workspace = admitted.workspace
         self._telemetry.event(
             Event.admitted,
@@ -50,77 +52,77 @@
             confirmed_ms_ago=_millis(confirmed_s_ago),
             tokens=call.prompt_tokens + call.output_tokens,
             over_quota_s=admitted.over_quota_s,
-            **_charged(admitted),
+            **_charge_fields(admitted),
         )
 
-    def permitted(self, visit: Visit, grant: Grant) -> None:
-        """Log where a request is sent."""
+    def permitted(self, context: RequestContext, grant: SlotGrant) -> None:
+        """Log the upstream that a request is sent to."""
         self._telemetry.event(
             Event.permitted,
             served=True,
-            request=visit.request_id,
+            request=context.request_id,
             upstream=grant.upstream.incarnation,
             by=grant.by,
             waited_ms=_millis(grant.waited_s),
-            send=visit.sends,
-            after_event=visit.last_event,
+            send=context.sends,
+            after_event=context.last_event,
         )
 
     def send_ended(
         self,
-        visit: Visit,
+        context: RequestContext,
         upstream: Upstream,
         report: RunReport,
     ) -> None:
-        """Log how a send ended, beside what was forecast of it.
+        """Log how a send ended, together with its forecast.
 
-        Where it failed, what was asked tells whether the same request fails
-        again and again, and the cause whether its connection was lost.
+        The content digest of failed sends shows whether the same request fails
+        repeatedly; the cause shows whether its connection was lost.
         """
-        served = report.ending is Ending.answered
-        failed = {} if served else _failed_inputs(visit)
+        served = report.ending is AttemptOutcome.answered
+        failed = {} if served else _failure_fields(context)
         self._telemetry.event(
             Event.send_ended,
             served=served,
-            request=visit.request_id,
+            request=context.request_id,
             upstream=upstream.incarnation,
             ending=report.ending.value,
             first_ms=_millis(report.first_s),
-            forecast_ms=_millis(visit.forecast_s),
+            forecast_ms=_millis(context.forecast_s),
             events=report.events,
             pause_ms=_millis(report.pause_s),
             pause_after=report.pause_after,
             total_ms=_millis(report.total_s),
             **failed,
-            **_said(visit),
+            **_upstream_status_fields(context),
         )
 
     def header_unread(self, upstream: Upstream, name: str) -> None:
-        """Log once that upstreams send a header that nothing here reads."""
-        if name in self._unread or len(self._unread) >= _MOST_UNREAD:
+        """Log an unknown header of upstreams the first time it is seen."""
+        if name in self._unread or len(self._unread) >= _MAX_UNREAD_HEADERS:
             return
         self._unread.add(name)
         self._telemetry.event(
             Event.header_unread,
-            header=name[:_SHOWN_CAUSE],
+            header=name[:_MAX_CAUSE_CHARS],
             upstream=upstream.incarnation,
         )
 
-    def budget_binds(self, visit: Visit) -> None:
-        """Log that a request is not sent again, for the retry budget."""
+    def budget_binds(self, context: RequestContext) -> None:
+        """Log that the retry budget prevents a retry."""
         self._telemetry.event(
             Event.budget_binds,
-            request=visit.request_id,
-            service=visit.admitted.service,
+            request=context.request_id,
+            service=context.admitted.service,
         )
 
-    def caller_left(self, visit: Visit) -> None:
-        """Log that nobody waits for an answer any more."""
+    def caller_left(self, context: RequestContext) -> None:
+        """Log that the caller disconnected before the end of its answer."""
         self._telemetry.event(
             Event.caller_left,
-            request=visit.request_id,
-            sends=visit.sends,
-            begun=visit.exchange.started,
+            request=context.request_id,
+            sends=context.sends,
+            begun=context.exchange.started,
         )
 
     def refused(
@@ -129,122 +131,129 @@
         refusal: Refusal,
         cause: RefusedError | None = None,
     ) -> None:
-        """Log a refusal, and what decided it where that is known."""
+        """Log a refusal, and the values that decided it if known."""
         self._telemetry.event(
             Event.refused,
             request=request_id,
             reason=refusal.reason.value,
             detail=refusal.detail,
             retry_after=refusal.retry_after,
-            **_refusal_inputs(cause),
+            **_refusal_fields(cause),
         )
 
-    def ended(self, visit: Visit, now: float) -> None:
+    def ended(self, context: RequestContext, now: float) -> None:
         """Log and count the end of a request."""
-        total_s = now - visit.exchange.received_at
-        self._telemetry.ended(
-            visit.outcome,
+        total_s = now - context.exchange.received_at
+        self._telemetry.record_request_end(
+            context.outcome,
             total_s,
-            visit.admitted.route.kind.value,
+            context.admitted.route.kind.value,
+        )
+        served = context.outcome == ANSWERED
+        # This line has all values that matter, even if earlier ones are lost.
+        fields = (
+            _lateness_fields(context, now)
+            if served
+            else _unserved_fields(context)
         )
-        served = visit.outcome == ANSWERED
-        # Without the lines before it, this one still tells what decided.
-        inputs = _late_inputs(visit, now) if served else _inputs(visit)
         self._telemetry.event(
             Event.finished,
             served=served,
-            request=visit.request_id,
-            outcome=visit.outcome,
+            request=context.request_id,
+            outcome=context.outcome,
             total_ms=_millis(total_s),
-            sends=visit.sends,
-            **inputs,
+            sends=context.sends,
+            **fields,
         )
 
 
-def _inputs(visit: Visit) -> dict[str, object]:
-    admitted = visit.admitted
+def _unserved_fields(context: RequestContext) -> dict[str, object]:
+    admitted = context.admitted
     workspace = admitted.workspace
     return {
         'route': admitted.route.name,
         'workspace': None if workspace is None else workspace.name,
         'service': admitted.service,
         'version': admitted.version,
-        'content': visit.content,
-        'tried': sorted(visit.excluded),
-        'may_have_run': visit.may_have_run,
-        'begun': visit.begun,
-        'since_first_ms': _millis(visit.since_first_s),
-        'waited_ms': _millis(visit.all_waits_s),
-        'limit_ms': _millis(visit.end_at - visit.exchange.received_at),
+        'content': context.content,
+        'tried': sorted(context.excluded),
+        'may_have_run': context.may_have_run,
+        'begun': context.begun,
+        'since_first_ms': _millis(context.since_first_s),
+        'waited_ms': _millis(context.total_wait_s),
+        'limit_ms': _millis(context.end_at - context.exchange.received_at),
     }
 
 
-def _failed_inputs(visit: Visit) -> dict[str, object]:
-    relay = visit.relay
-    broken = None if relay is None else relay.broken
+def _failure_fields(context: RequestContext) -> dict[str, object]:
+    relay = context.relay
+    error = None if relay is None else relay.error
     return {
-        'content': visit.content,
-        'cause': None if broken is None else str(broken)[:_SHOWN_CAUSE],
+        'content': context.content,
+        'cause': None if error is None else str(error)[:_MAX_CAUSE_CHARS],
     }
 
 
-def _said(visit: Visit) -> dict[str, object]:
-    """Return what an upstream said of itself, beside its answer."""
-    info = None if visit.relay is None else visit.relay.info
-    if info is None or not info.says_anything:
+def _upstream_status_fields(context: RequestContext) -> dict[str, object]:
+    """Return what the answer's head says about the upstream."""
+    info = None if context.relay is None else context.relay.info
+    if info is None or not info.has_upstream_status:
         return {}
     return {
         'leaving': info.leaving,
-        'rest_ms': _millis(info.rest_s),
+        'rest_ms': _millis(info.backoff_s),
         'limit_per_s': info.limit_per_s,
     }
 
 
-def _late_inputs(visit: Visit, now: float) -> dict[str, object]:
-    late = lateness(visit, now)
+def _lateness_fields(context: RequestContext, now: float) -> dict[str, object]:
+    late = lateness(context, now)
     if late is None:
         return {}
-    return {'route': visit.admitted.route.name, **msgspec.structs.asdict(late)}
+    return {
+        'route': context.admitted.route.name,
+        **msgspec.structs.asdict(late),
+    }
 
 
-def _refusal_inputs(cause: RefusedError | None) -> dict[str, object]:
+def _refusal_fields(cause: RefusedError | None) -> dict[str, object]:
     if isinstance(cause, OverQuotaError):
-        return _over_quota(cause)
-    if isinstance(cause, GivenUpError):
-        outlook = cause.outlook
+        return _over_quota_fields(cause)
+    if isinstance(cause, JobRejectedError):
+        forecast = cause.forecast
         return {
-            'ahead': outlook.ahead,
-            'wait_ms': _millis(outlook.wait_s),
-            'rate': round(outlook.rate, 1),
-            'free': outlook.free,
+            'ahead': forecast.ahead,
+            'wait_ms': _millis(forecast.wait_s),
+            'rate': round(forecast.rate, 1),
+            'free': forecast.free,
         }
     return {}
 
 
-def _charged(admitted: Admitted) -> dict[str, object]:
-    if admitted.seen is None:
+def _charge_fields(admitted: Admitted) -> dict[str, object]:
+    if admitted.quota_state is None:
         return {}
-    return {'charged': admitted.charged, **_quota_inputs(admitted.seen)}
+    return {'charged': admitted.charged, **_quota_fields(admitted.quota_state)}
 
 
-def _over_quota(cause: OverQuotaError) -> dict[str, object]:
-    if cause.seen is None:
+def _over_quota_fields(cause: OverQuotaError) -> dict[str, object]:
+    if cause.quota_state is None:
         return {}
     return {
         'workspace': cause.workspace,
-        'asked': cause.asked,
-        'quota': round(cause.seen.quota),
-        'window_s': cause.seen.window_s,
-        **_quota_inputs(cause.seen),
+        'asked': cause.amount,
+        'quota': round(cause.quota_state.quota),
+        'window_s': cause.quota_state.window_s,
+        **_quota_fields(cause.quota_state),
     }
 
 
-def _quota_inputs(seen: QuotaSeen) -> dict[str, object]:
+def _quota_fields(seen: QuotaState) -> dict[str, object]:
     return {
         'used': round(seen.used),
         'limit': round(seen.limit),
-        'heard': round(seen.heard, 3),
-        'known_ms_ago': _millis(seen.known_s_ago),
+        'heard': round(seen.heard_fraction, 3),
+        'known_ms_ago': _millis(seen.data_age_s),
     }
 
 
--- a/packages/edge/src/tallyhall_edge/scheduling.py
+++ b/packages/edge/src/tallyhall_edge/scheduling.py
@@ -1,8 +1,8 @@
-"""The pools of this instance, and who hears of their decisions.
+"""The service pools of this instance, and the delivery of their decisions.
 
-Jobs come from requests of this instance and, where it owns a service, from
-other instances. Both are asked for in the same way; an `Origin` hears what
-became of a job.
+Jobs come from requests of this instance and, if it owns a service, from other
+instances. Both are queued in the same way; the `JobListener` of a job is
+notified of the decision.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from typing import TYPE_CHECKING, Protocol
 
 from tallyhall_core.refusals import Reason, Refusal, RefusedError
+from tallyhall_dispatch.announced_limits import AnnouncedLimits
 from tallyhall_dispatch.desired import DesiredState, Upstream
-from tallyhall_dispatch.jobs import Ending, Grant, Job, RunReport
-from tallyhall_dispatch.leavers import Leavers
-from tallyhall_dispatch.named_limits import NamedLimits
-from tallyhall_dispatch.pool import Granted, ServicePool
-from tallyhall_dispatch.refusing import GivenUp
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport, SlotGrant
+from tallyhall_dispatch.leaving_upstreams import LeavingUpstreams
+from tallyhall_dispatch.pool import GrantDecision, ServicePool
+from tallyhall_dispatch.rejection import RejectDecision
 from tallyhall_dispatch.versions import (
     RolloutOrder,
     RolloutStatus,
@@ -29,99 +29,104 @@
 if TYPE_CHECKING:
     from tallyhall_dispatch.rollout import Rollout
 
-# How often waiting jobs are looked at when nothing else happens, seconds: a
-# fifth of the shortest objective.
-_LOOK_S = 0.02
-# A draw for a place holds for this long, in seconds: a run takes 0.2 s in the
-# middle; drawn at every look, all would have a place within the same run.
-_TURN_S = 0.5
-# The least chance in a draw, so that one has a place within 2 s on the average.
-_LEAST_PART = 0.25
-# Told to callers of a service that the desired state does not name, in seconds;
-# the next state may.
-_NO_SERVICE_RETRY_S = 1.0
+# Interval in seconds at which waiting jobs are checked when nothing else
+# triggers a decision: a fifth of the shortest objective.
+_POLL_S = 0.02
+# How long a random draw for a slot is valid, in seconds. The median run takes
+# 0.2 s; if instances drew at every poll, all of them would win a slot within
+# the duration of one run.
+_DRAW_VALID_S = 0.5
+# Minimum chance in a draw, so that an instance wins a slot within 2 s on
+# average.
+_MIN_CHANCE = 0.25
+# Retry-After in seconds for a service that the desired state does not contain;
+# the next state may contain it.
+_UNKNOWN_SERVICE_RETRY_S = 1.0
 
 
 class UpstreamListener(Protocol):
-    """Takes what upstreams say of themselves in answers, by incarnation."""
+    """Receives the signals that upstreams send in their answers."""
 
-    def leaves(self, incarnation: str) -> None:
-        """Take that an upstream says that it leaves."""
+    def on_leaving(self, incarnation: str) -> None:
+        """Handle the announcement of an upstream that it is leaving."""
 
-    def names_limit(
+    def on_limit_announced(
         self,
         incarnation: str,
         per_s: float | None,
         asked_at: float,
     ) -> None:
-        """Take the limit that an answer names, None if it names none.
+        """Handle the rate limit that an answer states.
 
-        per_s: requests a second from all instances. asked_at: when the request
-        was sent that it answers.
+        per_s: requests per second from all instances together, None if the
+        answer states no limit. asked_at: when the answered request was sent.
         """
 
 
 class Scheduler(Protocol):
-    """Grants upstreams to requests."""
+    """Assigns upstreams to requests."""
 
     @property
-    def upstream_news(self) -> UpstreamListener:
-        """Return who takes what upstreams say in answers."""
+    def upstream_listener(self) -> UpstreamListener:
+        """Return the listener for signals in answers."""
 
-    async def acquire(self, job: Job) -> Grant:
+    async def acquire(self, job: Job) -> SlotGrant:
         """Return an upstream for one send; raise RefusedError."""
 
     def is_usable(self, upstream: Upstream) -> bool:
         """Return whether an upstream still takes new requests."""
 
-    def first_byte(self, job: Job) -> None:
-        """Take that the answer of a job has begun."""
+    def record_first_byte(self, job: Job) -> None:
+        """Record that the answer of a job has begun."""
 
-    def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
-        """Return how long all upstreams of a service rest, 0 if one does not.
+    def backoff_ends_in_s(
+        self, service: str, backoffs: Mapping[str, float]
+    ) -> float:
+        """Return the time until an upstream of a service is out of backoff.
 
-        resting: those that rest, and until when.
+        backoffs: the upstreams in backoff and the end of each backoff. The
+        result is 0 if any upstream is not in backoff.
         """
 
     def finish(self, job: Job, upstream: Upstream, report: RunReport) -> None:
-        """Take that a send has ended."""
+        """Record that a send has ended."""
 
 
-class Origin(Protocol):
-    """Where a job came from."""
+class JobListener(Protocol):
+    """The requester of a job, notified of the decision."""
 
-    def granted(self, granted: Granted) -> None:
-        """Hear that a job may be sent, and when an answer is expected."""
+    def on_granted(self, granted: GrantDecision) -> None:
+        """Handle the assignment of an upstream and the forecast."""
 
-    def given_up(self, given_up: GivenUp) -> None:
-        """Hear that a job cannot be answered in time."""
+    def on_rejected(self, given_up: RejectDecision) -> None:
+        """Handle the decision that a job cannot be answered in time."""
 
 
 class Dispatcher:
-    """The pools of all services on this instance."""
+    """Holds the pools of all services on this instance."""
 
     def __init__(self, rng: random.Random) -> None:
         """Start without services."""
         self._rng = rng
         self._loop = asyncio.get_running_loop()
         self._pools: dict[str, ServicePool] = {}
-        self._origins: dict[str, Origin] = {}
+        self._listeners: dict[str, JobListener] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._upstreams: tuple[Upstream, ...] = ()
-        self._by_id: dict[str, Upstream] = {}
-        self.leavers = Leavers()
-        self.named_limits = NamedLimits()
-        # The part of the limits of each service that is for this instance.
-        self._parts: dict[str, float] = {}
+        self._by_incarnation: dict[str, Upstream] = {}
+        self.leaving_upstreams = LeavingUpstreams()
+        self.announced_limits = AnnouncedLimits()
+        # The share of the limits of each service that this instance may use.
+        self._limit_shares: dict[str, float] = {}
         self._versions: dict[str, ServiceVersions] = collections.defaultdict(
             ServiceVersions,
         )
-        # Until when a draw for a place of a service holds, and the draw.
+        # For each service the end of validity of the last draw, and its value.
         self._draws: dict[str, tuple[float, float]] = {}
 
     @property
     def waiting(self) -> int:
-        """Return how many jobs wait."""
+        """Return the number of waiting jobs."""
         return sum(pool.waiting for pool in self._pools.values())
 
     def is_model(self, service: str) -> bool:
@@ -129,34 +134,34 @@
         pool = self._pools.get(service)
         return pool is not None and pool.is_model
 
-    def is_shared(self, service: str) -> bool:
-        """Return whether one instance places the requests of a service.
+    def has_owner(self, service: str) -> bool:
+        """Return whether one instance schedules all requests of a service.
 
-        Always those of model engines, and of any service in a roll-out or with
-        an upstream that names a limit: what a new version or that upstream
-        gets is bounded over all instances together.
+        This applies to model engines, and to any service in a rollout or with
+        an upstream that states a limit, as the load on a new version or on that
+        upstream is bounded over all instances together.
         """
         pool = self._pools.get(service)
-        if pool is not None and (pool.is_model or pool.upstreams.is_limited):
+        if pool is not None and (pool.is_model or pool.upstreams.has_limits):
             return True
-        return self._versions[service].running is not None
+        return self._versions[service].order_in_progress is not None
 
-    def places(self, service: str) -> tuple[int, int]:
-        """Return the places of the upstreams in use, and of those on trial."""
+    def slots(self, service: str) -> tuple[int, int]:
+        """Return the slots of the upstreams in use and of the canaries."""
         pool = self._pools.get(service)
-        return (0, 0) if pool is None else (pool.places, pool.canary_places)
+        return (0, 0) if pool is None else (pool.slots, pool.canary_slots)
 
     def upstream(self, incarnation: str) -> Upstream | None:
-        """Return a known upstream."""
-        return self._by_id.get(incarnation)
+        """Return an upstream by its incarnation, None if it is unknown."""
+        return self._by_incarnation.get(incarnation)
 
     def is_usable(self, incarnation: str) -> bool:
-        """Return whether an upstream is known and does not leave."""
-        upstream = self._by_id.get(incarnation)
+        """Return whether an upstream is known and not leaving."""
+        upstream = self._by_incarnation.get(incarnation)
         return upstream is not None and not upstream.leaving
 
-    def take_state(self, state: DesiredState) -> None:
-        """Have a pool for each service of the desired state."""
+    def apply_state(self, state: DesiredState) -> None:
+        """Create a pool for each new service of the desired state."""
         for name, service in state.services.items():
             if name not in self._pools:
                 self._pools[name] = ServicePool(
@@ -164,20 +169,20 @@
                     service.event_tokens,
                     self._rng,
                 )
-        self.take_upstreams(self._upstreams)
+        self.apply_upstreams(self._upstreams)
 
-    def take_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
-        """Take all upstreams as they stand now."""
+    def apply_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
+        """Replace the set of upstreams and decide on waiting jobs."""
         self._upstreams = upstreams
         grouped: dict[str, list[Upstream]] = collections.defaultdict(list)
-        for known in map(self.leavers.marked, upstreams):
+        for known in map(self.leaving_upstreams.mark_leaving, upstreams):
             grouped[known.service].append(known)
         now = self._loop.time()
         marked = {
-            name: self._versions[name].marked(group, now)
+            name: self._versions[name].classify(group, now)
             for name, group in grouped.items()
         }
-        self._by_id = {
+        self._by_incarnation = {
             upstream.incarnation: upstream
             for group in marked.values()
             for upstream in group
@@ -185,94 +190,106 @@
         for name, pool in self._pools.items():
             pool.set_upstreams(marked.get(name, ()))
             self._apply_limits(pool)
-            self._pump(pool)
+            self._apply_decisions(pool)
 
-    def take_rollout(
+    def apply_rollout(
         self,
         service: str,
         order: RolloutOrder | None,
         status: RolloutStatus | None,
     ) -> None:
-        """Take which versions of a service take requests."""
+        """Update the rollout of a service, which selects its versions."""
         versions = self._versions[service]
         versions.order = order
         versions.status = status
-        self.take_upstreams(self._upstreams)
+        self.apply_upstreams(self._upstreams)
 
-    def look_at_versions(self) -> None:
-        """Take another version where the one in use stays away."""
+    def check_versions(self) -> None:
+        """Switch services to another version if the one in use is absent."""
         now = self._loop.time()
-        if any(one.is_absent(now) for one in self._versions.values()):
-            self.take_upstreams(self._upstreams)
-
-    def lead(self, service: str, rollout: Rollout | None) -> None:
-        """Place requests of a service on the upstreams on trial, or cease."""
+        if any(
+            versions.lost_accepted_version(now)
+            for versions in self._versions.values()
+        ):
+            self.apply_upstreams(self._upstreams)
+
+    def set_led_rollout(self, service: str, rollout: Rollout | None) -> None:
+        """Start to schedule requests of a service on canaries, or stop."""
         pool = self._pools.get(service)
         if pool is not None:
             pool.rollout = rollout
 
-    def leaves(self, incarnation: str) -> bool:
-        """Take that an upstream said that it leaves; return whether it is news.
+    def mark_leaving(self, incarnation: str) -> bool:
+        """Mark an upstream as leaving; return whether this is new.
 
-        It does whatever its entry says, until its end.
+        The mark holds until the upstream ends, whatever its registry entry
+        says.
         """
-        if not self.leavers.add(incarnation):
+        if not self.leaving_upstreams.add(incarnation):
             return False
-        self.take_upstreams(self._upstreams)
+        self.apply_upstreams(self._upstreams)
         return True
 
     @property
-    def said_to_leave(self) -> tuple[str, ...]:
-        """Return the known upstreams that said themselves that they leave."""
-        return tuple(one for one in self._by_id if one in self.leavers)
+    def announced_leaving(self) -> tuple[str, ...]:
+        """Return the known upstreams that announced that they are leaving."""
+        return tuple(
+            name
+            for name in self._by_incarnation
+            if name in self.leaving_upstreams
+        )
 
-    def opens_in_s(self, service: str, resting: Mapping[str, float]) -> float:
-        """Return how long all upstreams rest, 0 if one does not."""
+    def backoff_ends_in_s(
+        self, service: str, backoffs: Mapping[str, float]
+    ) -> float:
+        """Return the time until an upstream is out of backoff, 0 if one is."""
         pool = self._pools.get(service)
         if pool is None:
             return 0
-        return pool.opens_in_s(resting, self._loop.time())
+        return pool.backoff_ends_in_s(backoffs, self._loop.time())
 
-    def ask(self, job: Job, origin: Origin) -> None:
-        """Queue a job; the origin hears of it, maybe before this returns."""
+    def submit(self, job: Job, listener: JobListener) -> None:
+        """Queue a job; the listener may be notified before this returns."""
         pool = self._pools.get(job.service)
         if pool is None:
-            origin.given_up(GivenUp(job.key, _NO_SERVICE_RETRY_S))
+            listener.on_rejected(
+                RejectDecision(job.key, _UNKNOWN_SERVICE_RETRY_S)
+            )
             return
-        self._origins[job.key] = origin
-        pool.ask(job)
-        self._pump(pool)
+        self._listeners[job.key] = listener
+        pool.enqueue(job)
+        self._apply_decisions(pool)
 
-    def withdraw(self, key: str) -> None:
-        """Forget a waiting job."""
-        self._origins.pop(key, None)
+    def cancel(self, key: str) -> None:
+        """Remove a waiting job."""
+        self._listeners.pop(key, None)
         for pool in self._pools.values():
-            pool.withdraw(key)
+            pool.dequeue(key)
 
-    def note_running(self, job: Job, incarnation: str) -> None:
-        """Take that a job runs that was not granted here."""
+    def add_running(self, job: Job, incarnation: str) -> None:
+        """Record a running job that another instance granted."""
         pool = self._pools.get(job.service)
         if pool is not None:
-            pool.note_running(job, incarnation)
+            pool.add_running(job, incarnation)
 
-    def first_byte(self, key: str, service: str) -> None:
-        """Take that the answer of a job has begun."""
+    def record_first_byte(self, key: str, service: str) -> None:
+        """Record that the answer of a job has begun."""
         pool = self._pools.get(service)
         if pool is not None:
-            pool.first_byte(key)
+            pool.record_first_byte(key)
 
-    def first_byte_of(self, key: str) -> None:
-        """Take that the answer of a job of some service has begun."""
+    def record_first_byte_of(self, key: str) -> None:
+        """Record that the answer of a job of unknown service has begun."""
         for pool in self._pools.values():
-            pool.first_byte(key)
+            pool.record_first_byte(key)
 
     def is_waiting(self, key: str) -> bool:
-        """Return whether a job waits here."""
-        return key in self._origins
+        """Return whether a job waits on this instance."""
+        return key in self._listeners
 
     def service_of(self, incarnation: str) -> str:
         """Return the service of an upstream, empty for an unknown one."""
-        upstream = self._by_id.get(incarnation)
+        upstream = self._by_incarnation.get(incarnation)
         return '' if upstream is None else upstream.service
 
     def finish(
@@ -282,51 +299,54 @@
         incarnation: str,
         report: RunReport,
     ) -> None:
-        """Take that a send has ended."""
+        """Record that a send has ended."""
         pool = self._pools.get(service)
         if pool is None:
             return
         pool.finish(key, report, self._loop.time())
-        if report.ending is Ending.misplaced:
-            pool.misplaced(incarnation)
-        self._pump(pool)
+        if report.ending is AttemptOutcome.misplaced:
+            pool.ignore_upstream(incarnation)
+        self._apply_decisions(pool)
 
     def apply_limits(self) -> None:
-        """Keep to the limits that upstreams name now."""
+        """Apply the current limits of upstreams to all pools."""
         for pool in self._pools.values():
             self._apply_limits(pool)
-            self._pump(pool)
+            self._apply_decisions(pool)
 
-    def take_limit_parts(self, parts: Mapping[str, float]) -> None:
-        """Keep to these parts of the limits, by service.
+    def apply_limit_shares(self, parts: Mapping[str, float]) -> None:
+        """Apply this instance's shares of the limits, by service.
 
-        Elsewhere, and where the part is 0, another instance decides.
+        For services that are missing or have a share of 0, another instance
+        decides.
         """
-        if parts == self._parts:
+        if parts == self._limit_shares:
             return
-        self._parts = dict(parts)
+        self._limit_shares = dict(parts)
         self.apply_limits()
 
     @property
     def limited_services(self) -> tuple[str, ...]:
-        """Return the services with an upstream that names a limit."""
+        """Return the services with an upstream that states a limit."""
         return tuple(
             name
             for name, pool in self._pools.items()
-            if pool.upstreams.is_limited
+            if pool.upstreams.has_limits
         )
 
-    def take_share(self, share: float) -> None:
-        """Fill at most this part of the places of model engines."""
+    def apply_slot_share(self, share: float) -> None:
+        """Use at most this share of the slots of model engines."""
         for pool in self._pools.values():
             if pool.is_model:
-                pool.take_share(share)
+                pool.apply_share(share)
 
-    def may_fill(self, service: str, filled: int, instances: int) -> bool:
-        """Return whether one of so many instances may fill one place more.
+    def may_use_slot(self, service: str, filled: int, instances: int) -> bool:
+        """Return whether this instance may fill one more slot.
 
-        Fewer places than instances go by chance, drawn anew from time to time,
-        so that no instance has none for long.
+        filled: slots that it uses now. instances: number of instances that
+        share the slots. If there are fewer slots than instances, they are
+        assigned by chance and drawn again from time to time, so that no
+        instance goes without one for long.
         """
         pool = self._pools.get(service)
         if pool is None:
@@ -335,51 +355,51 @@
         until, drawn = self._draws.get(service, (0, 0))
         if now >= until:
             drawn = self._rng.random()
-            self._draws[service] = (now + _TURN_S, drawn)
-        return filled + drawn < max(_LEAST_PART, pool.places / instances)
+            self._draws[service] = (now + _DRAW_VALID_S, drawn)
+        return filled + drawn < max(_MIN_CHANCE, pool.slots / instances)
 
     def drop_jobs(self, prefix: str) -> None:
-        """Forget all jobs whose key has this prefix."""
-        for key in tuple(self._origins):
+        """Remove all jobs whose key has this prefix."""
+        for key in tuple(self._listeners):
             if key.startswith(prefix):
-                self._origins.pop(key)
+                self._listeners.pop(key)
         for pool in self._pools.values():
-            pool.drop_jobs(prefix)
-            self._pump(pool)
+            pool.remove_jobs(prefix)
+            self._apply_decisions(pool)
 
     def _apply_limits(self, pool: ServicePool) -> None:
-        part = self._parts.get(pool.service, 0)
+        part = self._limit_shares.get(pool.service, 0)
         pool.upstreams.apply_limits(
-            self.named_limits.current, part, self._loop.time()
+            self.announced_limits.current, part, self._loop.time()
         )
 
-    def _pump(self, pool: ServicePool) -> None:
+    def _apply_decisions(self, pool: ServicePool) -> None:
         for decision in pool.decide(self._loop.time()):
-            origin = self._origins.pop(decision.key, None)
-            if origin is None:
+            listener = self._listeners.pop(decision.key, None)
+            if listener is None:
                 continue
-            if isinstance(decision, Granted):
-                origin.granted(decision)
-            elif isinstance(decision, GivenUp):
-                origin.given_up(decision)
+            if isinstance(decision, GrantDecision):
+                listener.on_granted(decision)
+            elif isinstance(decision, RejectDecision):
+                listener.on_rejected(decision)
         if pool.waiting and self._timer is None:
-            self._timer = self._loop.call_later(_LOOK_S, self._look)
+            self._timer = self._loop.call_later(_POLL_S, self._poll)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self._timer = None
         for pool in self._pools.values():
             if pool.waiting:
-                self._pump(pool)
+                self._apply_decisions(pool)
 
 
-class GivenUpError(RefusedError):
-    """A job cannot be answered in time."""
+class JobRejectedError(RefusedError):
+    """The refusal of a job that cannot be answered in time."""
 
-    def __init__(self, given_up: GivenUp) -> None:
-        """Keep when to return, and what was foreseen."""
+    def __init__(self, given_up: RejectDecision) -> None:
+        """Store when to retry and the forecast behind the decision."""
         refusal = Refusal.of(
             Reason.deadline_unreachable,
             retry_after=given_up.retry_after_s,
         )
         super().__init__(refusal)
-        self.outlook = given_up.outlook
+        self.forecast = given_up.forecast
--- a/packages/edge/src/tallyhall_edge/sending.py
+++ b/packages/edge/src/tallyhall_edge/sending.py
@@ -1,7 +1,8 @@
-"""One send of a request to an upstream, and whether another one may follow.
+"""Sends a request to an upstream and decides whether it may be retried.
 
-What must not run twice is written to one upstream, and written again only if
-that upstream says that it did not run it or nothing was written at all.
+A request that is not repeatable is written to one upstream, and written again
+only if that upstream states that it did not execute it or if nothing was
+written at all.
 """
 
 from __future__ import annotations
@@ -10,314 +11,336 @@
 import functools
 
 from tallyhall_core.refusals import Reason, Refusal, RefusedError
+from tallyhall_dispatch.backoffs import Backoffs
 from tallyhall_dispatch.desired import RouteKind, Upstream
-from tallyhall_dispatch.gate import Gate
-from tallyhall_dispatch.jobs import NOT_SENT, Ending, Job, RunReport
-from tallyhall_dispatch.rests import Rests
+from tallyhall_dispatch.gate import AdmissionGate
+from tallyhall_dispatch.jobs import NOT_SENT, AttemptOutcome, Job, RunReport
 
 from .client import ClientConnection
 from .connections import ConnectionPool
-from .dialect import AnswerInfo, Dialect, SendInfo
-from .errors import LostError, NotSentError, RestingError
+from .dialect import HeaderCodec, ResponseInfo, UpstreamRequestInfo
+from .errors import BackoffError, ConnectionLostError, NotSentError
 from .guard import Guard
-from .messages import head_bytes
+from .messages import encode_head
 from .relay import Relay
+from .request_context import RequestContext
 from .request_log import RequestLog
 from .scheduling import Scheduler
-from .visit import Visit
 
-# A kept connection may have died unnoticed. What may be sent again uses any
-# that is kept; what may not uses only one that worked a moment ago. Seconds.
-_IDLE_REPEATABLE_S = 10.0
-_IDLE_ONCE_S = 1.0
-# Sends of one request at the most, with those that upstreams rejected.
-_MOST_SENDS = 4
-# An answer that has not begun after this part of its objective is taken as
-# lost, so that another upstream can still be in time; longer by the time that
-# a slow engine with others ahead needs for each token of the prompt.
-_SILENCE_PART = 0.65
-_SLOW_TOKEN_S = 0.00006
-# A request that waited longer for its place met full engines; asking an owner
-# takes 3 ms.
-_LOADED_WAIT_S = 0.03
+# A kept connection may have died unnoticed. Repeatable requests use any kept
+# connection; others use only one that was in use a moment ago. In seconds.
+_MAX_IDLE_REPEATABLE_S = 10.0
+_MAX_IDLE_NON_REPEATABLE_S = 1.0
+# Maximum sends of one request, including those that upstreams rejected.
+_MAX_SENDS = 4
+# An answer that has not begun after this fraction of the route's objective is
+# treated as lost, so that another upstream can still meet the objective. The
+# timeout is extended by the time that a slow engine with queued requests needs
+# for each token of the prompt.
+_SILENCE_FRACTION = 0.65
+_PREFILL_S_PER_TOKEN = 0.00006
+# A request that waited longer than this for its slot, in seconds, found the
+# engines full; asking the owner of a service takes only 3 ms.
+_OVERLOAD_WAIT_S = 0.03
 
 _SAFE_TO_RESEND = frozenset(
-    (Ending.rejected, Ending.misplaced, Ending.unsent, Ending.withheld),
+    (
+        AttemptOutcome.rejected,
+        AttemptOutcome.misplaced,
+        AttemptOutcome.unsent,
+        AttemptOutcome.withheld,
+    ),
 )
 
 
-class Sending:
-    """Sends requests of one instance to upstreams."""
+class Sender:
+    """Sends the requests of one instance to upstreams."""
 
     def __init__(
         self,
-        gate: Gate,
+        gate: AdmissionGate,
         scheduler: Scheduler,
         conns: ConnectionPool,
-        dialect: Dialect,
+        codec: HeaderCodec,
         log: RequestLog,
         guard: Guard,
     ) -> None:
-        """Send over these connections."""
+        """Send requests over connections of this pool."""
         self._guard = guard
         self._gate = gate
         self._scheduler = scheduler
         self._conns = conns
-        self._dialect = dialect
+        self._codec = codec
         self._log = log
-        # What upstreams asked this instance for.
-        self.rests = Rests()
+        # Backoffs that upstreams requested from this instance.
+        self.backoffs = Backoffs()
         self._loop = asyncio.get_running_loop()
 
     async def send(
         self,
-        visit: Visit,
+        context: RequestContext,
         job: Job,
         upstream: Upstream,
-    ) -> tuple[Ending, Relay]:
-        """Return how the send ended, and its answer."""
-        relay = self._relay(visit, job, upstream)
-        visit.relay = relay
-        ending = Ending.left
+    ) -> tuple[AttemptOutcome, Relay]:
+        """Send a request once; return how that ended and the answer."""
+        relay = self._make_relay(context, job, upstream)
+        context.relay = relay
+        ending = AttemptOutcome.left
         try:
-            ending = await self._exchange(visit, upstream, relay)
-        except RestingError:
-            ending = Ending.withheld
+            ending = await self._send_once(context, upstream, relay)
+        except BackoffError:
+            ending = AttemptOutcome.withheld
         except NotSentError:
-            ending = Ending.unsent
+            ending = AttemptOutcome.unsent
         finally:
-            # Before an answer of this instance's own is written.
-            visit.begun = visit.exchange.started
-            # What ended before the wait for it was broken off has ended.
+            # Read before this instance writes an answer of its own.
+            context.begun = context.exchange.started
+            # An ending that was reached before the wait was cancelled counts.
             report = relay.report(relay.ending or ending)
             self._scheduler.finish(job, upstream, report)
-            self._note_end(visit, upstream, report)
+            self._record_end(context, upstream, report)
         return report.ending, relay
 
-    def may_send_again(self, visit: Visit, ending: Ending) -> bool:
-        """Return whether a request may be sent once more; spend its budget."""
-        if visit.sends >= _MOST_SENDS:
+    def may_retry(
+        self, context: RequestContext, ending: AttemptOutcome
+    ) -> bool:
+        """Return whether a request may be retried; spend its retry budget."""
+        if context.sends >= _MAX_SENDS:
             return False
         if ending in _SAFE_TO_RESEND:
             if ending in NOT_SENT:
-                # What did not leave costs no budget.
+                # Nothing was sent, so the retry budget is not charged.
                 return True
-            return self._spend(visit)
-        route = visit.admitted.route
-        if not route.repeatable or visit.may_have_run >= route.attempts:
+            return self._spend_retry_budget(context)
+        route = context.admitted.route
+        if not route.repeatable or context.may_have_run >= route.attempts:
             return False
-        if visit.exchange.started and not route.resumable:
+        if context.exchange.started and not route.resumable:
             return False
-        return self._spend(visit)
+        return self._spend_retry_budget(context)
 
     # -- steps
 
-    def _note_end(
+    def _record_end(
         self,
-        visit: Visit,
+        context: RequestContext,
         upstream: Upstream,
         report: RunReport,
     ) -> None:
-        visit.pause_s = max(visit.pause_s, report.pause_s)
-        self._log.send_ended(visit, upstream, report)
-        self._tell_guard(visit, upstream)
+        context.pause_s = max(context.pause_s, report.pause_s)
+        self._log.send_ended(context, upstream, report)
+        self._update_guard(context, upstream)
 
-    def _tell_guard(self, visit: Visit, upstream: Upstream) -> None:
-        permit = visit.permit
-        relay = visit.relay
+    def _update_guard(
+        self, context: RequestContext, upstream: Upstream
+    ) -> None:
+        permit = context.permit
+        relay = context.relay
         if permit is None or relay is None:
             return
-        visit.permit = None
-        if isinstance(relay.broken, LostError):
-            self._guard.lost(visit.content, permit, upstream)
+        context.permit = None
+        if isinstance(relay.error, ConnectionLostError):
+            self._guard.record_connection_lost(
+                context.content, permit, upstream
+            )
         elif relay.succeeded:
-            self._guard.answered(visit.content)
+            self._guard.answered(context.content)
         if permit.is_trial:
-            self._guard.release(visit.content)
+            self._guard.release(context.content)
 
-    def _take_said(
+    def _apply_answer_info(
         self,
         upstream: Upstream,
         asked_at: float,
-        info: AnswerInfo,
+        info: ResponseInfo,
     ) -> None:
-        self._take_limit(upstream, asked_at, info)
+        self._report_limit(upstream, asked_at, info)
         if info.leaving:
-            self._scheduler.upstream_news.leaves(upstream.incarnation)
-            self._conns.drop(upstream.incarnation)
-        if info.rest_s:
+            self._scheduler.upstream_listener.on_leaving(upstream.incarnation)
+            self._conns.close_idle(upstream.incarnation)
+        if info.backoff_s:
             now = self._loop.time()
-            self.rests.ask(upstream.incarnation, info.rest_s, now)
-        for name in info.unread:
+            self.backoffs.add(upstream.incarnation, info.backoff_s, now)
+        for name in info.unknown_headers:
             self._log.header_unread(upstream, name)
 
-    def _take_limit(
+    def _report_limit(
         self,
         upstream: Upstream,
         asked_at: float,
-        info: AnswerInfo,
+        info: ResponseInfo,
     ) -> None:
-        # One that turns a request away may do so before it knows its state.
-        has_run = info.proven and not info.not_executed
+        # An upstream may reject a request before it has loaded its state; a
+        # rejection without a limit does not mean that there is none.
+        has_run = info.is_signed and not info.not_executed
         if has_run or info.limit_per_s is not None:
-            self._scheduler.upstream_news.names_limit(
+            self._scheduler.upstream_listener.on_limit_announced(
                 upstream.incarnation,
                 info.limit_per_s,
                 asked_at,
             )
 
-    def _relay(
+    def _make_relay(
         self,
-        visit: Visit,
+        context: RequestContext,
         job: Job,
         upstream: Upstream,
     ) -> Relay:
-        streaming = visit.admitted.route.kind is RouteKind.streaming
+        streaming = context.admitted.route.kind is RouteKind.streaming
         relay = Relay(
-            visit.exchange,
-            self._dialect,
-            visit.last_event,
+            context.exchange,
+            self._codec,
+            context.last_event,
             streaming=streaming,
         )
-        relay.on_said = functools.partial(
-            self._take_said,
+        relay.on_answer_info = functools.partial(
+            self._apply_answer_info,
             upstream,
             self._loop.time(),
         )
-        relay.on_first = functools.partial(
-            self._note_first,
-            visit,
+        relay.on_first_event = functools.partial(
+            self._on_first_event,
+            context,
             job,
-            visit.relay,
+            context.relay,
         )
         return relay
 
-    def _note_first(
+    def _on_first_event(
         self,
-        visit: Visit,
+        context: RequestContext,
         job: Job,
         earlier: Relay | None,
     ) -> None:
-        """Take that an answer has begun, maybe where an earlier one broke."""
-        self._scheduler.first_byte(job)
-        if earlier is not None and earlier.last_at:
-            pause_s = self._loop.time() - earlier.last_at
-            visit.resumed_pause_s = max(visit.resumed_pause_s, pause_s)
+        """Record the first event; measure the pause if it resumes a stream."""
+        self._scheduler.record_first_byte(job)
+        if earlier is not None and earlier.last_event_at:
+            pause_s = self._loop.time() - earlier.last_event_at
+            context.resumed_pause_s = max(context.resumed_pause_s, pause_s)
 
-    async def _exchange(
+    async def _send_once(
         self,
-        visit: Visit,
+        context: RequestContext,
         upstream: Upstream,
         relay: Relay,
-    ) -> Ending:
-        repeatable = visit.admitted.route.repeatable
-        idle_s = _IDLE_REPEATABLE_S if repeatable else _IDLE_ONCE_S
-        conn = await self._conns.take(upstream, idle_s)
+    ) -> AttemptOutcome:
+        repeatable = context.admitted.route.repeatable
+        max_idle_s = (
+            _MAX_IDLE_REPEATABLE_S if repeatable else _MAX_IDLE_NON_REPEATABLE_S
+        )
+        conn = await self._conns.acquire(upstream, max_idle_s)
         try:
-            await self._write(visit, upstream, relay, conn)
-            ending = await self._answer(visit, relay)
+            await self._write_request(context, upstream, relay, conn)
+            ending = await self._await_answer(context, relay)
         finally:
-            visit.exchange.on_writable = None
-            self._conns.give_back(upstream, conn)
+            context.exchange.on_writable = None
+            self._conns.release(upstream, conn)
         if ending in _SAFE_TO_RESEND:
-            visit.may_have_run -= 1
+            context.may_have_run -= 1
         return ending
 
-    async def _write(
+    async def _write_request(
         self,
-        visit: Visit,
+        context: RequestContext,
         upstream: Upstream,
         relay: Relay,
         conn: ClientConnection,
     ) -> None:
-        """Write a request, unless it must not reach this upstream any more.
+        """Write a request after checking again that it may still be sent.
 
-        A connection takes up to 0.3 s. Meanwhile its like may have ended
-        another upstream, this one may leave or ask for rest, and the key may
-        have been taken away.
+        Connecting takes up to 0.3 s. In that time a request with the same
+        content may have crashed another upstream, this upstream may have
+        started to leave or asked for a backoff, and the API key may have been
+        revoked.
         """
-        visit.permit = await self._guard.permit(visit.content)
+        context.permit = await self._guard.request_permit(context.content)
         now = self._loop.time()
         if not self._scheduler.is_usable(upstream):
             conn.close()
-            raise NotSentError('the upstream has left')
-        if self.rests.rests(upstream.incarnation, now):
-            raise RestingError('the upstream rests')
-        if not self._gate.still_holds(visit.admitted, now):
+            raise NotSentError('the upstream takes no new requests')
+        if self.backoffs.is_backing_off(upstream.incarnation, now):
+            raise BackoffError('the upstream asked for a backoff')
+        if not self._gate.is_still_valid(context.admitted, now):
             refusal = Refusal.of(Reason.state_not_confirmed, retry_after=1)
             raise RefusedError(refusal)
         relay.bind(conn)
         conn.send(
-            self._request(visit, upstream),
+            self._encode_request(context, upstream),
             relay,
-            visit.call.request_id,
+            context.call.request_id,
         )
-        visit.may_have_run += 1
+        context.may_have_run += 1
 
-    async def _answer(self, visit: Visit, relay: Relay) -> Ending:
-        """Wait for the end of an answer, or for one that never begins.
+    async def _await_answer(
+        self, context: RequestContext, relay: Relay
+    ) -> AttemptOutcome:
+        """Wait for the end of an answer, or until it is overdue to begin.
 
         An upstream may hang, or lose the answer of a request that it ran. A
-        request that may run again goes elsewhere then, if the retry budget
-        bears it; otherwise waiting on is the better chance.
+        repeatable request is then sent to another upstream if the retry budget
+        allows it; otherwise waiting on is the better chance.
 
-        After a standstill one turn of the loop reads an answer and finds the
-        timer due, so what counts is whether it has begun, not the timer.
+        After a stall of the process, one iteration of the event loop may both
+        read an answer and find the timer expired. What counts is therefore
+        whether the answer has begun, not whether the timer expired.
         """
-        if not self._takes_silence_as_loss(visit):
+        if not self._may_abandon_silent(context):
             return await relay.done
         try:
-            async with asyncio.timeout(self._patience_s(visit)):
+            async with asyncio.timeout(self._silence_timeout_s(context)):
                 await relay.begun.wait()
         except TimeoutError:
             silent = not relay.begun.is_set()
-            if silent and self._spend(visit):
-                visit.repeat_paid = True
-                return Ending.unknown
+            if silent and self._spend_retry_budget(context):
+                context.retry_charged = True
+                return AttemptOutcome.unknown
         return await relay.done
 
-    def _takes_silence_as_loss(self, visit: Visit) -> bool:
-        """Return whether a request may go elsewhere if no answer begins.
+    def _may_abandon_silent(self, context: RequestContext) -> bool:
+        """Return whether a send may be abandoned if no answer begins.
 
-        Where requests wait for places, silence is more likely the load.
+        If requests have to wait for slots, a missing answer is more likely
+        caused by load than by a fault.
         """
-        route = visit.admitted.route
+        route = context.admitted.route
         if not route.repeatable:
             return False
-        if visit.may_have_run >= route.attempts:
+        if context.may_have_run >= route.attempts:
             return False
-        return visit.waited_s <= _LOADED_WAIT_S
+        return context.waited_s <= _OVERLOAD_WAIT_S
 
-    def _patience_s(self, visit: Visit) -> float:
-        objective_s = visit.admitted.route.objective_s
-        reading_s = visit.call.prompt_tokens * _SLOW_TOKEN_S
-        return _SILENCE_PART * objective_s + reading_s
+    def _silence_timeout_s(self, context: RequestContext) -> float:
+        objective_s = context.admitted.route.objective_s
+        prefill_s = context.call.prompt_tokens * _PREFILL_S_PER_TOKEN
+        return _SILENCE_FRACTION * objective_s + prefill_s
 
-    def _request(self, visit: Visit, upstream: Upstream) -> bytes:
-        exchange = visit.exchange
-        workspace = visit.admitted.workspace
-        resumes = visit.last_event != visit.call.last_event
-        info = SendInfo(
-            visit.end_at - self._loop.time(),
+    def _encode_request(
+        self, context: RequestContext, upstream: Upstream
+    ) -> bytes:
+        exchange = context.exchange
+        workspace = context.admitted.workspace
+        resumes = context.last_event != context.call.last_event
+        info = UpstreamRequestInfo(
+            context.end_at - self._loop.time(),
             upstream.name,
             None if workspace is None else workspace.name,
-            visit.last_event if resumes else None,
+            context.last_event if resumes else None,
         )
         head = exchange.head
-        headers = self._dialect.upstream_headers(
+        headers = self._codec.upstream_headers(
             head,
             len(exchange.body),
             info,
         )
         line = b'%b %b HTTP/1.1' % (head.method, head.target)
-        return head_bytes(line, headers) + exchange.body
+        return encode_head(line, headers) + exchange.body
 
-    def _spend(self, visit: Visit) -> bool:
-        if visit.repeat_paid:
-            visit.repeat_paid = False
+    def _spend_retry_budget(self, context: RequestContext) -> bool:
+        if context.retry_charged:
+            context.retry_charged = False
             return True
-        service = visit.admitted.service
-        allowed = self._gate.may_repeat(service, self._loop.time())
+        service = context.admitted.service
+        allowed = self._gate.charge_retry(service, self._loop.time())
         if not allowed:
-            self._log.budget_binds(visit)
+            self._log.budget_binds(context)
         return allowed
--- a/packages/entry/src/tallyhall_entry/beliefs.py
+++ b/packages/entry/src/tallyhall_entry/cluster_state.py
@@ -1,4 +1,4 @@
-"""What an instance believes about the world, as the store tells it."""
+"""Local copy of the cluster state that an instance reads from the store."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 
 from tallyhall_core.events import Event
 from tallyhall_dispatch.desired import DesiredState, Upstream
-from tallyhall_dispatch.fleet import FleetCount, Membership
-from tallyhall_dispatch.gate import Gate
-from tallyhall_dispatch.quota import Written
+from tallyhall_dispatch.fleet import FleetCount, FleetMembership
+from tallyhall_dispatch.gate import AdmissionGate
+from tallyhall_dispatch.quota import StoredUse
 from tallyhall_edge.caller_connection import ServerLimits
 from tallyhall_edge.connections import ConnectionPool
 from tallyhall_edge.scheduling import Dispatcher
 from tallyhall_edge.server import HttpServer
 from tallyhall_platform.entries import InstanceEntry
-from tallyhall_transport.peer import PeerPlace
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer import PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
 
 from .logs import EventLog
 from .metrics import Metrics
 
 
-class Beliefs:
-    """Passes news from the store on to the parts that act on it."""
+class ClusterState:
+    """Forwards store updates to the components that depend on them."""
 
     def __init__(
         self,
-        membership: Membership,
-        gate: Gate,
+        membership: FleetMembership,
+        gate: AdmissionGate,
         dispatcher: Dispatcher,
         conns: ConnectionPool,
-        links: PeerLinks,
+        peer_streams: PeerStreams,
         front: HttpServer,
         log: EventLog,
         metrics: Metrics,
     ) -> None:
-        """Feed these parts."""
+        """Forward store updates to the given components."""
         self.entries: tuple[InstanceEntry, ...] = ()
-        self.confirmed_at = float('-inf')
+        self.complete_as_of = float('-inf')
         self.count = FleetCount()
         self.upstreams: frozenset[Upstream] = frozenset()
         self._membership = membership
@@ -45,22 +45,22 @@
         self._gate = gate
         self._dispatcher = dispatcher
         self._conns = conns
-        self._links = links
+        self._peer_streams = peer_streams
         self._front = front
         self._log = log
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
     def on_state(self, state: DesiredState) -> None:
-        """Take a newer desired state."""
-        self._gate.take_state(state)
-        self._dispatcher.take_state(state)
+        """Apply a newer desired state."""
+        self._gate.apply_state(state)
+        self._dispatcher.apply_state(state)
         limits = state.limits
         self._front.limits = ServerLimits(
-            header_bytes=limits.header_bytes,
-            body_bytes=limits.body_bytes,
-            header_s=limits.header_s,
-            idle_s=limits.idle_s,
+            max_header_bytes=limits.header_bytes,
+            max_body_bytes=limits.body_bytes,
+            header_timeout_s=limits.header_s,
+            idle_timeout_s=limits.idle_s,
         )
         self._metrics.state_version = state.version
         self._log.event(
@@ -71,79 +71,80 @@
         )
 
     def on_upstreams(self, upstreams: tuple[Upstream, ...]) -> None:
-        """Take all upstreams as they stand."""
-        self._end_connections(upstreams)
-        self._log_changes(frozenset(upstreams))
+        """Apply the complete list of upstreams."""
+        self._close_connections(upstreams)
+        self._log_upstream_changes(frozenset(upstreams))
         self.upstreams = frozenset(upstreams)
-        self._dispatcher.take_upstreams(upstreams)
+        self._dispatcher.apply_upstreams(upstreams)
 
     def on_instances(self, entries: tuple[InstanceEntry, ...]) -> None:
-        """Take all registered instances."""
+        """Apply the complete list of registered instances."""
         self.entries = entries
         self._known |= {entry.instance: entry for entry in entries}
-        self._membership.take_entries(
+        self._membership.update_entries(
             {entry.instance: entry.leaving for entry in entries},
             self._loop.time(),
         )
-        self.count = self._counted()
-        self._take_peers()
+        self.count = self._count_fleet()
+        self._update_peers()
         self._log.event(Event.instances_changed, known=len(entries))
 
     @property
-    def offered(self) -> tuple[InstanceEntry, ...]:
-        """Return the entries of the instances that callers are sent to."""
+    def advertised(self) -> tuple[InstanceEntry, ...]:
+        """Return the entries of the instances advertised to clients."""
         return tuple(
             entry
             for entry in self.entries
-            if not entry.leaving and not self._says_leaving(entry)
+            if not entry.leaving and not self._reports_leaving(entry)
         )
 
     def look(self) -> None:
-        """Count the fleet anew; who is heard changes with time."""
-        counted = self._counted()
+        """Recount the fleet, as the reachable peers change over time."""
+        counted = self._count_fleet()
         if counted != self.count:
             self.count = counted
-            self._take_peers()
+            self._update_peers()
 
-    def on_use(self, use: Written) -> None:
-        """Take what was written of the use of all before this run."""
-        self._gate.quotas.recall(use, self._loop.time())
+    def on_stored_use(self, use: StoredUse) -> None:
+        """Apply the fleet's quota usage that was stored before this run."""
+        self._gate.quotas.restore(use, self._loop.time())
 
-    def on_confirmed(self, asked_at: float) -> None:
-        """Take that the desired state was in force at this time."""
-        self.confirmed_at = asked_at
-        self._gate.freshness.confirm(asked_at)
+    def on_state_confirmed(self, asked_at: float) -> None:
+        """Record that the desired state was current at this time."""
+        self.complete_as_of = asked_at
+        self._gate.freshness.record_confirmation(asked_at)
 
-    def on_store(self, *, reachable: bool) -> None:
-        """Take that the store was lost or is back."""
+    def on_store_reachable(self, *, reachable: bool) -> None:
+        """Record that the store became unreachable or reachable again."""
         self._metrics.store_up = int(reachable)
         event = Event.kv_up if reachable else Event.kv_down
         self._log.event(event, age=self._gate.freshness.age(self._loop.time()))
 
-    def _end_connections(self, upstreams: tuple[Upstream, ...]) -> None:
+    def _close_connections(self, upstreams: tuple[Upstream, ...]) -> None:
         usable = {one.incarnation for one in upstreams if not one.leaving}
         starts = {one.name: one.started_ms for one in upstreams}
         for known in self.upstreams:
             if starts.get(known.name, 0) > known.started_ms:
-                self._conns.end(known.incarnation)
+                self._conns.fail_all(known.incarnation)
             elif known.incarnation not in usable:
-                self._conns.drop(known.incarnation)
+                self._conns.close_idle(known.incarnation)
 
-    def _counted(self) -> FleetCount:
+    def _count_fleet(self) -> FleetCount:
         heard = {
-            peer.name: peer.heard_at for peer in self._links.peers.values()
+            peer.name: peer.last_heard_at
+            for peer in self._peer_streams.peers.values()
         }
         return self._membership.count(heard, self._loop.time())
 
-    def _take_peers(self) -> None:
-        """Keep streams to all that count, also to those not registered."""
+    def _update_peers(self) -> None:
+        """Keep streams to all fleet members, even to unregistered ones."""
         members = self.count.members
         self._gate.instances = len(members)
         for gone in self._known.keys() - members:
             self._known.pop(gone)
-        self._links.take_peers(
+        self._peer_streams.update_peers(
             {
-                name: PeerPlace(
+                name: PeerEndpoint(
                     entry.peer,
                     entry.cores,
                     name in self.count.registered,
@@ -153,23 +154,23 @@
             },
         )
 
-    def _says_leaving(self, entry: InstanceEntry) -> bool:
-        # Its own word comes sooner than the store's.
-        peer = self._links.peers.get(entry.instance)
+    def _reports_leaving(self, entry: InstanceEntry) -> bool:
+        # A peer's own batches report this earlier than the store does.
+        peer = self._peer_streams.peers.get(entry.instance)
         if peer is None or peer.incarnation != entry.incarnation:
             return False
         return peer.leaving
 
-    def _log_changes(self, upstreams: frozenset[Upstream]) -> None:
-        came = upstreams - self.upstreams
-        went = {upstream.incarnation for upstream in self.upstreams}
-        went -= {upstream.incarnation for upstream in upstreams}
+    def _log_upstream_changes(self, upstreams: frozenset[Upstream]) -> None:
+        added = upstreams - self.upstreams
+        removed = {upstream.incarnation for upstream in self.upstreams}
+        removed -= {upstream.incarnation for upstream in upstreams}
         self._log.event(
             Event.upstreams_changed,
             known=len(upstreams),
             changed=sorted(
                 f'{upstream.incarnation}{"-" if upstream.leaving else "+"}'
-                for upstream in came
+                for upstream in added
             ),
-            gone=sorted(went),
+            gone=sorted(removed),
         )
--- a/packages/transport/src/tallyhall_transport/peer_codec.py
+++ b/packages/transport/src/tallyhall_transport/peer_codec.py
@@ -1,10 +1,10 @@
-"""Peer messages to and from the types of the decisions.
+"""Converts between peer messages and the types of tallyhall_dispatch.
 
-Steady clocks of two instances have nothing in common, so points in time
-travel as durations from the moment of sending.
+Monotonic clocks of two instances are not comparable, so points in time are
+sent as durations relative to the sending of the message.
 
-Messages are filled where a batch made them, so that nothing here needs the
-library of their types, which a starting instance loads late.
+The encoders fill in messages that a batch has created, so that this module
+does not import the generated code, which a starting instance loads late.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 import math
 from typing import TYPE_CHECKING
 
-from tallyhall_dispatch.jobs import Ending, Job, RunReport
-from tallyhall_dispatch.refusing import GivenUp, Outlook
+from tallyhall_dispatch.jobs import AttemptOutcome, Job, RunReport
+from tallyhall_dispatch.rejection import RejectDecision, RejectionForecast
 
 if TYPE_CHECKING:
     from .generated import peers_pb2
 
 _MILLI = 1000
-_NO_FIRST = -1
-# A longer wait is told as an hour, in milliseconds.
-_LONGEST_MS = 3_600_000
+_NO_FIRST_EVENT = -1
+# Longer waits are sent as one hour, in milliseconds.
+_MAX_WAIT_MS = 3_600_000
 
 
-def fill_job(ask: peers_pb2.Ask, job: Job, now: float) -> None:
-    """Write a job as it is asked for."""
+def encode_job(ask: peers_pb2.Ask, job: Job, now: float) -> None:
+    """Encode a job for which an upstream is requested."""
     ask.key = job.key
     ask.service = job.service
     ask.zone = job.zone
@@ -33,20 +33,20 @@
     ask.prompt_tokens = job.prompt_tokens
     ask.output_tokens = job.output_tokens
     ask.due_in_ms = int((job.due_at - now) * _MILLI)
-    ask.give_up_in_ms = int((job.give_up_at - now) * _MILLI)
+    ask.give_up_in_ms = int((job.reject_at - now) * _MILLI)
     ask.excluded.extend(job.excluded)
-    ask.spare = job.spare
+    ask.spare = job.over_quota
     ask.pause_ms = int(job.pause_s * _MILLI)
-    ask.suspect = job.suspect
+    ask.suspect = job.suspect_digest
     ask.route = job.route
-    ask.once = job.once
-    for upstream, until in job.resting.items():
+    ask.once = job.non_idempotent
+    for upstream, until in job.backoffs.items():
         left_ms = math.ceil((until - now) * _MILLI)
         ask.resting.add(upstream=upstream, left_ms=max(0, left_ms))
 
 
 def decode_job(ask: peers_pb2.Ask, now: float) -> Job:
-    """Return a job that another instance asks for."""
+    """Decode a job for which another instance requests an upstream."""
     return Job(
         key=ask.key,
         service=ask.service,
@@ -56,36 +56,36 @@
         output_tokens=ask.output_tokens,
         asked_at=now,
         due_at=now + ask.due_in_ms / _MILLI,
-        give_up_at=now + ask.give_up_in_ms / _MILLI,
+        reject_at=now + ask.give_up_in_ms / _MILLI,
         excluded=frozenset(ask.excluded),
-        spare=ask.spare,
+        over_quota=ask.spare,
         pause_s=ask.pause_ms / _MILLI,
-        suspect=ask.suspect,
-        resting={
+        suspect_digest=ask.suspect,
+        backoffs={
             rest.upstream: now + rest.left_ms / _MILLI for rest in ask.resting
         },
         route=ask.route,
-        once=ask.once,
+        non_idempotent=ask.once,
     )
 
 
-def fill_give_up(give_up: peers_pb2.GiveUp, given_up: GivenUp) -> None:
-    """Write that a job cannot be answered in time."""
+def encode_give_up(give_up: peers_pb2.GiveUp, given_up: RejectDecision) -> None:
+    """Encode the decision that a job cannot be answered in time."""
     give_up.key = given_up.key
     give_up.retry_after_ms = int(given_up.retry_after_s * _MILLI)
-    outlook = given_up.outlook
-    give_up.wait_ms = min(_LONGEST_MS, int(outlook.wait_s * _MILLI))
-    give_up.ahead = outlook.ahead
-    give_up.rate = outlook.rate
-    give_up.free = outlook.free
+    forecast = given_up.forecast
+    give_up.wait_ms = min(_MAX_WAIT_MS, int(forecast.wait_s * _MILLI))
+    give_up.ahead = forecast.ahead
+    give_up.rate = forecast.rate
+    give_up.free = forecast.free
 
 
-def decode_give_up(give_up: peers_pb2.GiveUp) -> GivenUp:
-    """Return what another instance decided."""
-    return GivenUp(
+def decode_give_up(give_up: peers_pb2.GiveUp) -> RejectDecision:
+    """Decode another instance's decision to give up a job."""
+    return RejectDecision(
         give_up.key,
         give_up.retry_after_ms / _MILLI,
-        Outlook(
+        RejectionForecast(
             give_up.ahead,
             give_up.wait_ms / _MILLI,
             give_up.rate,
@@ -94,20 +94,20 @@
     )
 
 
-def fill_done(
+def encode_done(
     done: peers_pb2.Done,
     key: str,
     service: str,
     upstream: str,
     report: RunReport,
 ) -> None:
-    """Write how a send ended."""
+    """Encode the result of a request that was sent to an upstream."""
     done.key = key
     done.service = service
     done.upstream = upstream
     done.ending = report.ending.value
     done.total_ms = int(report.total_s * _MILLI)
-    done.first_ms = _NO_FIRST
+    done.first_ms = _NO_FIRST_EVENT
     if report.first_s is not None:
         done.first_ms = int(report.first_s * _MILLI)
     done.events = report.events
@@ -116,12 +116,12 @@
 
 
 def decode_done(done: peers_pb2.Done) -> RunReport:
-    """Return what a send at another instance showed."""
+    """Decode the result of a request that another instance sent."""
     first_s = None
-    if done.first_ms != _NO_FIRST:
+    if done.first_ms != _NO_FIRST_EVENT:
         first_s = done.first_ms / _MILLI
     return RunReport(
-        Ending(done.ending),
+        AttemptOutcome(done.ending),
         done.total_ms / _MILLI,
         first_s,
         done.events,
--- a/tests/platform/quota_fleet.py
+++ b/tests/platform/quota_fleet.py
@@ -1,7 +1,7 @@
-"""Instances that admit and report to each other; only the streams are missing.
+"""Simulated fleet of instances that admit requests and exchange use reports.
 
-Time is simulated: a batch is filled by its sender, arrives after a delay and
-is taken by its receiver, all by the product's own parts.
+Time and the streams are simulated: batches are filled and processed by the
+product code and arrive after a delay.
 """
 
 import asyncio
@@ -14,18 +14,18 @@
 
 from tallyhall_dispatch.desired import Workspace
 from tallyhall_dispatch.freshness import Freshness
-from tallyhall_dispatch.gate import Gate
-from tallyhall_dispatch.quota_limits import Fleet, QuotaBounds
+from tallyhall_dispatch.gate import AdmissionGate
+from tallyhall_dispatch.quota_limits import FleetView, QuotaBounds
 from tallyhall_dispatch.retries import RetryLimits
-from tallyhall_entry.knowledge import known
+from tallyhall_entry.knowledge import peer_knowledge
 from tallyhall_entry.logs import EventLog
-from tallyhall_entry.neighbours import Neighbours
-from tallyhall_entry.talk import Talk
-from tallyhall_entry.use_news import UseNews
+from tallyhall_entry.peer_reports import PeerReports
+from tallyhall_entry.peer_tracker import PeerTracker
+from tallyhall_entry.use_refresh import UseRefresher
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer import Peer, PeerPlace
-from tallyhall_transport.peers import PeerLinks
-from tallyhall_transport.streams import Streams
+from tallyhall_transport.peer import Peer, PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
+from tallyhall_transport.streams import GrpcStreams
 
 from tests.platform.harness import log_stream
 from tests.platform.windows import most_in_window
@@ -33,17 +33,17 @@
 WINDOW_S = 8
 _TICK_S = 0.05
 _LARGE = 50_000
-# The first batch of a stream leaves as soon as it is open.
-_FIRST_BEAT_S = 0.15
-# Hubs have answered after this long.
+# Maximum delay of the first batch of a stream.
+_MAX_FIRST_BEAT_S = 0.15
+# Time after which hubs have answered a query.
 _ANSWERS_S = 0.06
 
 
 class Clock:
-    """The steady time of all instances."""
+    """The simulated monotonic clock of all instances."""
 
     def __init__(self) -> None:
-        """Start late enough for all to know the last window."""
+        """Start late enough for all instances to know a full window."""
         self.now: float = 1000
 
     def read(self) -> float:
@@ -56,31 +56,33 @@
     """One instance."""
 
     name: str
-    gate: Gate
-    links: PeerLinks
-    talk: Talk
-    use_news: UseNews
-    neighbours: Neighbours
+    gate: AdmissionGate
+    peer_streams: PeerStreams
+    peer_reports: PeerReports
+    use_refresher: UseRefresher
+    peer_tracker: PeerTracker
     run: str = ''
     hubs: frozenset[str] = frozenset()
 
     def look(self, now: float) -> None:
-        """Take what is known of the fleet now."""
-        links = self.links
-        seen = self.neighbours.look(now, leaving=False)
-        size = links.instances
-        links.hears = seen.hears
-        links.hears_directly = seen.hears_directly
+        """Update the known state of the fleet."""
+        peer_streams = self.peer_streams
+        seen = self.peer_tracker.update(now, leaving=False)
+        size = peer_streams.instances
+        peer_streams.heard_count = seen.heard_count
+        peer_streams.directly_heard_count = seen.directly_heard_count
         self.hubs = seen.hubs
-        times = known(links, self.name, seen.hubs, now)
-        heard = seen.hears / size
-        fleet = Fleet(size, heard, times.known_at, times.counted_at)
-        self.gate.quotas.take_fleet(fleet)
+        times = peer_knowledge(peer_streams, self.name, seen.hubs, now)
+        heard = seen.heard_count / size
+        fleet = FleetView(
+            size, heard, times.acknowledged_at, times.propagated_at
+        )
+        self.gate.quotas.apply_fleet(fleet)
 
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """What callers send: tokens a second at a time, and to which instance."""
+    """A load: tokens per second at a time, and the choice of instances."""
 
     per_s: Callable[[float], float]
     pick: Callable[[random.Random], int]
@@ -88,7 +90,7 @@
 
 
 class QuotaFleet:
-    """All instances, their batches on the way, and what they admitted."""
+    """All instances, their batches in transit, and what they admitted."""
 
     def __init__(
         self,
@@ -98,14 +100,14 @@
         bounds: QuotaBounds,
         seed: int = 1,
     ) -> None:
-        """Start all, each knowing all others from the store."""
+        """Start all instances; each knows all others from the store."""
         self.taken: list[tuple[float, float]] = []
         self.cut: frozenset[int] = frozenset()
-        # What fitted into the quota and was refused, and all that fitted.
+        # Amounts that fitted into the quota: those refused, and all.
         self.denied: float = 0
         self.fitted: float = 0
         self.delay_s = (0.001, 0.02)
-        # Whether those that are cut off reach each other.
+        # Whether isolated instances are also cut off from each other.
         self.cut_apart = True
         self.rng = random.Random(seed)
         self._clock = clock
@@ -130,21 +132,21 @@
 
     @property
     def allowed(self) -> float:
-        """Return the quota with all that it may be exceeded by."""
+        """Return the quota plus its maximum overshoot."""
         return self.limit * (1 + self._bounds.overshoot) + self._bounds.slack
 
     @property
     def used(self) -> float:
-        """Return what was admitted in the last window."""
+        """Return the amount admitted in the last window."""
         return self._used(self._clock.now)
 
     @property
     def most(self) -> float:
-        """Return what was admitted in the fullest window."""
+        """Return the largest amount admitted in any window."""
         return most_in_window(self.taken, WINDOW_S)
 
     def run(self, seconds: float, load: Load | None = None) -> None:
-        """Let time pass while callers send."""
+        """Advance time while callers send requests."""
         ends_at = self._clock.now + seconds
         asks_at = self._next_ask(load)
         while True:
@@ -162,44 +164,45 @@
             due[2]()
 
     def restart(self, numbers: Iterable[int]) -> None:
-        """Lose these at the same moment; each has what was written before.
+        """Kill and restart these instances at the same time.
 
-        The streams to and from them are opened anew within half a second.
+        They restore the use stored before. Streams to and from them are
+        reopened within half a second.
         """
         gone = [self.nodes[number] for number in numbers]
         names = {node.name for node in gone}
         kept = [node for node in self.nodes if node.name not in names]
         now = self._clock.now
-        written = kept[0].gate.quotas.worth_writing(now) if kept else {}
+        written = kept[0].gate.quotas.use_to_store(now) if kept else {}
         self._opened = {pair for pair in self._opened if names.isdisjoint(pair)}
         for old in gone:
             node = self._node(old.name, now)
-            node.gate.quotas.recall(written, now)
+            node.gate.quotas.restore(written, now)
             self.nodes[self._names.index(node.name)] = node
             self._by_name[node.name] = node
             self._begin(node)
         for other in kept:
-            for name in names & other.links.peers.keys():
-                other.links.peers[name].forget_told()
-                if other.links.peers[name].linked_at is not None:
+            for name in names & other.peer_streams.peers.keys():
+                other.peer_streams.peers[name].reset_reported()
+                if other.peer_streams.peers[name].stream_opened_at is not None:
                     self._at(
                         self.rng.uniform(0.1, 0.6),
                         functools.partial(self.tell, other, name),
                     )
 
     def ask(self, number: int, amount: float) -> None:
-        """Let one instance admit a request if it will."""
+        """Send a request to one instance."""
         now = self._clock.now
         fits = self._used(now) + amount <= self.limit
         self.fitted += amount * fits
         if self._enter(number, amount):
             return
         node = self.nodes[number]
-        if not node.use_news.is_old(now):
+        if not node.use_refresher.is_stale(now):
             self.denied += amount * fits
             return
-        # As a request waits for the answers of the hubs.
-        for hub in sorted(node.use_news.mark_hubs()):
+        # The request waits for the answers of the hubs.
+        for hub in sorted(node.use_refresher.request_answers()):
             self.tell(node, hub)
         self._at(_ANSWERS_S, lambda: self._ask_again(number, amount))
 
@@ -210,8 +213,8 @@
         pair = (sender.name, receiver)
         batch.opened = pair not in self._opened
         self._opened.add(pair)
-        peer = sender.links.peers.get(receiver) or Peer(receiver)
-        sender.links.fill(batch, peer)
+        peer = sender.peer_streams.peers.get(receiver) or Peer(receiver)
+        sender.peer_streams.complete_batch(batch, peer)
         batch.sender = sender.name
         batch.incarnation = sender.run
         arrives_at = max(
@@ -231,15 +234,15 @@
         now = self._clock.now
         quotas = self.nodes[number].gate.quotas
         name = self._workspace.name
-        over = quotas.take(name, amount, now)
-        if over and not quotas.take_spare(name, amount, now):
+        over = quotas.charge(name, amount, now)
+        if over and not quotas.charge_over_quota(name, amount, now):
             return False
         self.taken.append((now, amount))
         self._ask_owner(self.nodes[number])
         return True
 
     def _ask_owner(self, node: Node) -> None:
-        """Ask a hub for a place and be answered, as each request does."""
+        """Exchange batches with a hub, as every request does to get a slot."""
         owner = self.rng.choice(sorted(node.hubs))
         if owner != node.name:
             self.tell(node, owner)
@@ -254,7 +257,7 @@
     def _arrive(self, batch: peers_pb2.Batch, receiver: str) -> None:
         if self._reach(batch.sender, receiver):
             node = self._by_name[receiver]
-            node.links.take(batch)
+            node.peer_streams.receive(batch)
             if batch.answer_now:
                 self.tell(node, batch.sender)
 
@@ -267,9 +270,9 @@
         return int(name[1:]) in self.cut
 
     def _begin(self, node: Node) -> None:
-        node.links.take_peers(
+        node.peer_streams.update_peers(
             {
-                name: PeerPlace(name, 1)
+                name: PeerEndpoint(name, 1)
                 for name in self._names
                 if name != node.name
             },
@@ -278,7 +281,7 @@
         first = self.rng.random()
         self._at(first * _TICK_S, functools.partial(self._tick, node))
         self._at(
-            first * min(_FIRST_BEAT_S, node.links.beat_s),
+            first * min(_MAX_FIRST_BEAT_S, node.peer_streams.heartbeat_s),
             functools.partial(self._beat, node),
         )
 
@@ -286,18 +289,20 @@
         if self._by_name[node.name] is not node:
             return
         node.look(self._clock.now)
-        for hub in sorted(node.use_news.look(node.hubs)):
+        for hub in sorted(node.use_refresher.poll(node.hubs)):
             self.tell(node, hub)
         self._at(_TICK_S, functools.partial(self._tick, node))
 
     def _beat(self, node: Node) -> None:
         if self._by_name[node.name] is not node:
             return
-        peers = node.links.peers
+        peers = node.peer_streams.peers
         for name in sorted(peers):
-            if peers[name].linked_at is not None:
+            if peers[name].stream_opened_at is not None:
                 self.tell(node, name)
-        self._at(node.links.beat_s, functools.partial(self._beat, node))
+        self._at(
+            node.peer_streams.heartbeat_s, functools.partial(self._beat, node)
+        )
 
     def _at(self, wait_s: float, act: Callable[[], None]) -> None:
         entry = (self._clock.now + wait_s, next(self._order), act)
@@ -310,7 +315,7 @@
         return self._clock.now + self.rng.expovariate(per_s)
 
     def _amount(self, mean: float) -> float:
-        """Return a size; one in a hundred is 12 times the mean."""
+        """Return a random size; one in a hundred is 12.5 times the mean."""
         if self.rng.random() < 0.01:
             return _LARGE * mean / 4000
         return min(12 * mean, self.rng.lognormvariate(-0.72, 1.1) * mean)
@@ -324,7 +329,7 @@
         return used
 
     def _node(self, name: str, started_at: float) -> Node:
-        gate = Gate(
+        gate = AdmissionGate(
             Freshness(5),
             RetryLimits(0.2, 50, 10),
             self._bounds,
@@ -332,48 +337,62 @@
             started_at,
         )
         gate.quotas.configure({self._workspace.name: self._workspace})
-        talks: list[Talk] = []
-        use_news: list[UseNews] = []
-        links = PeerLinks(
+        made_reports: list[PeerReports] = []
+        use_refresher: list[UseRefresher] = []
+        peer_streams = PeerStreams(
             name,
             name,
-            lambda peer, batch: _take(talks[0], peer, batch),
-            lambda peer, batch: _fill(talks[0], use_news[0], peer, batch),
+            lambda peer, batch: _take(made_reports[0], peer, batch),
+            lambda peer, batch: _fill(
+                made_reports[0], use_refresher[0], peer, batch
+            ),
             _ignore,
             _ignore,
         )
-        links.use(Streams(links))
-        links.own_cores = 1
-        talks.append(Talk(gate, links, lambda raw: None, self._log))
-        use_news.append(UseNews(links, gate.quotas, _ignore))
+        peer_streams.use_streams(GrpcStreams(peer_streams))
+        peer_streams.own_cores = 1
+        made_reports.append(
+            PeerReports(gate, peer_streams, lambda raw: None, self._log)
+        )
+        use_refresher.append(UseRefresher(peer_streams, gate.quotas, _ignore))
         run = f'{name}-{next(self._order)}'
-        neighbours = Neighbours(name, links)
-        return Node(name, gate, links, talks[0], use_news[0], neighbours, run)
+        peer_tracker = PeerTracker(name, peer_streams)
+        return Node(
+            name,
+            gate,
+            peer_streams,
+            made_reports[0],
+            use_refresher[0],
+            peer_tracker,
+            run,
+        )
 
 
 def simulated() -> Clock:
-    """Put the running loop on simulated time."""
+    """Make the running event loop use a simulated clock."""
     clock = Clock()
     loop = asyncio.get_running_loop()
     loop.time = clock.read  # type: ignore[method-assign]
     return clock
 
 
-def _take(talk: Talk, peer: Peer, batch: peers_pb2.Batch) -> None:
-    talk.take(peer, batch)
-    # As the jobs' part of a batch does.
+def _take(
+    peer_reports: PeerReports, peer: Peer, batch: peers_pb2.Batch
+) -> None:
+    peer_reports.take(peer, batch)
+    # Done by the job part of a batch in the product.
     peer.incarnation = batch.incarnation
 
 
 def _fill(
-    talk: Talk,
-    use_news: UseNews,
+    peer_reports: PeerReports,
+    use_refresher: UseRefresher,
     peer: Peer,
     batch: peers_pb2.Batch,
 ) -> None:
-    talk.fill(peer, batch)
-    use_news.fill(peer, batch)
+    peer_reports.fill(peer, batch)
+    use_refresher.fill(peer, batch)
 
 
 def _ignore(*_: object) -> None:
-    """Take anything."""
+    """Accept and ignore any arguments."""
--- a/tests/platform/test_guard.py
+++ b/tests/platform/test_guard.py
@@ -1,4 +1,4 @@
-"""How instances share what they know of ends, and agree on trials."""
+"""Sharing of upstream crashes between instances, and claims on trials."""
 
 import asyncio
 import base64
@@ -11,38 +11,38 @@
 import pytest
 from tallyhall_bench.ports import free_ports
 from tallyhall_core.refusals import Reason, RefusedError
-from tallyhall_core.suspects import EndedRun, UpstreamEnd
+from tallyhall_core.suspects import InterruptedRun, UpstreamTermination
 from tallyhall_dispatch.desired import Upstream
 from tallyhall_dispatch.options import Listening
 from tallyhall_entry.guard import SharedGuard
 from tallyhall_entry.logs import EventLog
-from tallyhall_platform.ends import (
-    ENDS_PREFIX,
+from tallyhall_platform.end_records import (
+    END_RECORDS_PREFIX,
     EndRecorder,
     EndRecords,
-    decode_ends,
-    encode_ends,
+    decode_end_records,
+    encode_end_records,
 )
 from tallyhall_platform.errors import StoreError
 from tallyhall_platform.store import StoreClient
 from tallyhall_standins.platform_store import StoreFault, StoreStandIn
 from tallyhall_transport.generated import peers_pb2
 from tallyhall_transport.peer import Peer
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer_streams import PeerStreams
 
 from tests.platform.harness import HOST, log_stream, until
 
-_DAY_S = 1_700_000_000.0
+_NOW_S = 1_700_000_000.0
 _LARGE = 195
 _HUBS = 4
-# Longer than a hub gathers what it tells on.
-_PASSED_ON_S = 0.05
+# Longer than a hub collects records before it forwards them.
+_FORWARDED_S = 0.05
 
 
 def _records(ends: int) -> EndRecords:
-    """Return what was written of a request after so many ends."""
-    runs = (EndedRun('x', ends),)
-    return EndRecords((UpstreamEnd(f'u{ends}', _DAY_S, runs),), ())
+    """Return the records of a request after this many upstream crashes."""
+    runs = (InterruptedRun('x', ends),)
+    return EndRecords((UpstreamTermination(f'u{ends}', _NOW_S, runs),), ())
 
 
 @contextlib.asynccontextmanager
@@ -57,7 +57,7 @@
 
 
 def _ignore(*_: object, **fields: object) -> None:
-    """Take anything."""
+    """Ignore all arguments."""
 
 
 def _recorder(address: Listening, name: str = 'a') -> EndRecorder:
@@ -66,156 +66,158 @@
 
 @dataclasses.dataclass(slots=True)
 class _Links:
-    """Streams to peers that take everything."""
+    """Links that record the batches sent to each peer."""
 
     instances: int
     peers: dict[str, Peer]
     sent: dict[str, peers_pb2.Batch] = dataclasses.field(default_factory=dict)
     is_hub: bool = False
 
-    tells_on = PeerLinks.tells_on
+    is_relay = PeerStreams.is_relay
 
-    def outgoing(self, name: str, *, urgent: bool) -> peers_pb2.Batch:
+    def next_batch(self, name: str, *, urgent: bool) -> peers_pb2.Batch:
         assert urgent
         return self.sent.setdefault(name, peers_pb2.Batch())
 
 
-def _guard(recorder: EndRecorder, links: _Links | None = None) -> SharedGuard:
-    links = links or _Links(1, {})
+def _guard(
+    recorder: EndRecorder, peer_streams: _Links | None = None
+) -> SharedGuard:
+    peer_streams = peer_streams or _Links(1, {})
     return SharedGuard(
-        cast(PeerLinks, links),
+        cast(PeerStreams, peer_streams),
         recorder,
         EventLog(log_stream()),
-        lambda: _DAY_S,
+        lambda: _NOW_S,
     )
 
 
-async def test_one_trial_runs_in_the_fleet() -> None:
-    """Two instances that do not hear each other."""
+async def test_only_one_trial_runs_in_the_fleet() -> None:
+    """Two instances that get no messages from each other share one claim."""
     async with _store() as (_, address):
         guards = [_guard(_recorder(address, name)) for name in 'ab']
         for guard in guards:
             guard.take_stored(_records(2))
-        first = await guards[0].permit('x')
+        first = await guards[0].request_permit('x')
         assert first.is_trial
         for guard in guards:
             with pytest.raises(RefusedError) as refused:
-                await guard.permit('x')
+                await guard.request_permit('x')
             assert refused.value.refusal.reason is Reason.quarantined
         guards[0].release('x')
         await asyncio.sleep(0.05)
-        assert (await guards[0].permit('x')).is_trial
+        assert (await guards[0].request_permit('x')).is_trial
 
 
-async def test_without_a_store_nothing_is_tried() -> None:
+async def test_no_trial_runs_without_the_store() -> None:
     async with _store() as (store, address):
         guard = _guard(_recorder(address))
         guard.take_stored(_records(2))
         store.fault = StoreFault.silent
         with pytest.raises(RefusedError):
-            await guard.permit('x')
+            await guard.request_permit('x')
 
 
-async def test_one_end_needs_no_store() -> None:
+async def test_a_request_with_one_crash_needs_no_store() -> None:
     async with _store() as (store, address):
         store.fault = StoreFault.silent
         guard = _guard(_recorder(address))
         guard.take_stored(_records(1))
-        permit = await guard.permit('x')
+        permit = await guard.request_permit('x')
         assert permit.ends == 1
         assert not permit.is_trial
 
 
-async def test_a_success_frees_those_that_were_not_told() -> None:
+async def test_a_stored_success_clears_a_request() -> None:
     async with _store() as (store, address):
         recorder = _recorder(address)
         writing = asyncio.create_task(recorder.run())
         guard = _guard(recorder)
         guard.take_stored(_records(2))
         guard.answered('x')
-        await until(lambda: bool(store.keys(ENDS_PREFIX)))
+        await until(lambda: bool(store.keys(END_RECORDS_PREFIX)))
         writing.cancel()
         other = _guard(recorder)
         other.take_stored(_records(3))
         with pytest.raises(RefusedError):
             other.check('x')
-        snapshot = await StoreClient(address).snapshot(ENDS_PREFIX)
+        snapshot = await StoreClient(address).snapshot(END_RECORDS_PREFIX)
         for entry in snapshot.entries:
-            other.take_stored(decode_ends(entry.content))
+            other.take_stored(decode_end_records(entry.content))
         other.check('x')
 
 
-async def test_records_outlast_a_store_that_fails() -> None:
-    """What comes meanwhile is written too, and nothing is overwritten."""
+async def test_records_survive_store_failures() -> None:
+    """Records made meanwhile are written, too, and none is overwritten."""
     async with _store() as (store, address):
         recorder = _recorder(address)
         writing = asyncio.create_task(recorder.run())
         for fault in (StoreFault.refuses, StoreFault.resets):
             store.fault = fault
-            recorder.ended(_records(1).ended[0])
+            recorder.record_termination(_records(1).ended[0])
             await asyncio.sleep(0.05)
         store.fault = StoreFault.none
-        recorder.ended(_records(2).ended[0])
+        recorder.record_termination(_records(2).ended[0])
         await until(lambda: len(_stored(store)) == 3)
         writing.cancel()
 
 
-def _stored(store: StoreStandIn) -> list[UpstreamEnd]:
-    stored = [store.item(key) for key in store.keys(ENDS_PREFIX)]
+def _stored(store: StoreStandIn) -> list[UpstreamTermination]:
+    stored = [store.item(key) for key in store.keys(END_RECORDS_PREFIX)]
     return [
         end
         for kept in stored
         if kept is not None
-        for end in decode_ends(base64.b64decode(kept.text)).ended
+        for end in decode_end_records(base64.b64decode(kept.text)).ended
     ]
 
 
-def test_records_are_read_as_they_are_written() -> None:
+def test_encoded_records_decode_to_the_same() -> None:
     records = _records(3)
-    assert decode_ends(encode_ends(records)) == records
+    assert decode_end_records(encode_end_records(records)) == records
 
 
-async def test_hubs_tell_on_what_is_news() -> None:
-    """And nobody else does, nor twice, nor back."""
+async def test_hubs_forward_new_records() -> None:
+    """Not in a mesh, not twice, and not back to the sender."""
     async with _store() as (_, address):
-        told = _told()
+        batch = _ended_batch()
         peers = {name: Peer(name) for name in ('a', 'b', 'c')}
         hub = _Links(_LARGE, peers)
         guard = _guard(_recorder(address), hub)
         hub.is_hub = True
-        guard.take(peers['a'], told)
-        await asyncio.sleep(_PASSED_ON_S)
+        guard.take(peers['a'], batch)
+        await asyncio.sleep(_FORWARDED_S)
         assert hub.sent.keys() == {'b', 'c'}
-        guard.take(peers['b'], told)
-        await asyncio.sleep(_PASSED_ON_S)
+        guard.take(peers['b'], batch)
+        await asyncio.sleep(_FORWARDED_S)
         assert len(hub.sent['c'].ended) == 1
         assert 'a' not in hub.sent
         in_mesh = _Links(3, peers)
         in_mesh.is_hub = True
         one = _guard(_recorder(address), in_mesh)
-        one.take(peers['a'], told)
-        await asyncio.sleep(_PASSED_ON_S)
+        one.take(peers['a'], batch)
+        await asyncio.sleep(_FORWARDED_S)
         assert not in_mesh.sent
 
 
 @pytest.mark.parametrize('size', [195, 410])
-async def test_a_large_fleet_knows_within_a_moment(size: int) -> None:
-    """Ten instances had runs at the upstream; each tells its hubs."""
+async def test_a_large_fleet_learns_of_crashes_quickly(size: int) -> None:
+    """Ten instances had runs on the upstream, and each informs its hubs."""
     async with _store() as (_, address):
         fleet = _Fleet(size, _recorder(address))
         for serial in range(10):
-            run = EndedRun(f'run {serial}', 3)
+            run = InterruptedRun(f'run {serial}', 3)
             fleet.sees_end(_HUBS + serial, run)
         fleet.deliver()
-        await asyncio.sleep(_PASSED_ON_S)
+        await asyncio.sleep(_FORWARDED_S)
         batches = fleet.deliver()
         for guard in fleet.guards:
             for serial in range(10):
                 with pytest.raises(RefusedError):
                     guard.check(f'run {serial}')
-        # One from each hub to each of the others, and no echo of these.
+        # One from each hub to each other instance, none of them forwarded.
         assert batches <= _HUBS * size
-        await asyncio.sleep(_PASSED_ON_S)
+        await asyncio.sleep(_FORWARDED_S)
         assert not fleet.deliver()
 
 
@@ -223,48 +225,48 @@
     """Instances with streams to and from a few hubs."""
 
     def __init__(self, size: int, recorder: EndRecorder) -> None:
-        """Start all; the first few are the hubs."""
+        """Create all instances; the first ones are hubs."""
         names = [f'n{number}' for number in range(size)]
-        self.links: list[_Links] = []
+        self.peer_streams: list[_Links] = []
         self.guards: list[SharedGuard] = []
         for number, name in enumerate(names):
             linked = names if number < _HUBS else names[:_HUBS]
             peers = {one: Peer(one) for one in linked if one != name}
-            self.links.append(_Links(size, peers))
-            guard = _guard(recorder, self.links[-1])
-            self.links[-1].is_hub = number < _HUBS
+            self.peer_streams.append(_Links(size, peers))
+            guard = _guard(recorder, self.peer_streams[-1])
+            self.peer_streams[-1].is_hub = number < _HUBS
             self.guards.append(guard)
 
-    def sees_end(self, number: int, run: EndedRun) -> None:
-        """Let an instance see that an upstream ended under a run."""
+    def sees_end(self, number: int, run: InterruptedRun) -> None:
+        """Let an instance detect that an upstream crashed during a run."""
         upstream = Upstream('u', 'svc', HOST, 1, 'a', 9, leaving=False)
         self.guards[number]._on_end(upstream, (run,))  # noqa: SLF001
 
     def deliver(self) -> int:
-        """Bring all batches to their receivers; return how many."""
+        """Deliver all batches to their receivers; return their number."""
         sent = 0
-        for number, links in enumerate(self.links):
-            batches = links.sent
-            links.sent = {}
+        for number, peer_streams in enumerate(self.peer_streams):
+            batches = peer_streams.sent
+            peer_streams.sent = {}
             for name, batch in batches.items():
                 sent += 1
-                taker = self.guards[int(name[1:])]
-                taker.take(Peer(f'n{number}'), batch)
+                receiver = self.guards[int(name[1:])]
+                receiver.take(Peer(f'n{number}'), batch)
         return sent
 
 
-def _told() -> Any:
+def _ended_batch() -> Any:
     batch = peers_pb2.Batch()
-    ended = batch.ended.add(upstream='u', at_s=_DAY_S)
+    ended = batch.ended.add(upstream='u', at_s=_NOW_S)
     ended.runs.add(content='x', ends=1)
     return batch
 
 
-async def test_a_claim_that_is_lost_lapses() -> None:
+async def test_a_claim_without_a_response_expires() -> None:
     async with _store() as (store, address):
         recorder = _recorder(address)
         store.fault = StoreFault.loses_answers
         with pytest.raises(StoreError):
-            await recorder.claim('x')
+            await recorder.claim_trial('x')
         store.fault = StoreFault.none
-        assert await recorder.claim('x') is not None
+        assert await recorder.claim_trial('x') is not None
--- a/tests/platform/test_lateness.py
+++ b/tests/platform/test_lateness.py
@@ -1,4 +1,4 @@
-"""What made an answer late is told in parts, and travels between instances."""
+"""The breakdown of a late response, and its exchange between instances."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from tallyhall_dispatch.desired import Route, RouteKind
-from tallyhall_dispatch.jobs import Grant
-from tallyhall_dispatch.refusing import GivenUp, Outlook
+from tallyhall_dispatch.jobs import SlotGrant
+from tallyhall_dispatch.rejection import RejectDecision, RejectionForecast
 from tallyhall_edge.lateness import lateness
-from tallyhall_edge.visit import Visit, note_send
+from tallyhall_edge.request_context import RequestContext, record_send
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer_codec import decode_give_up, fill_give_up
+from tallyhall_transport.peer_codec import decode_give_up, encode_give_up
 
 _OBJECTIVE_S = 0.5
 _ROUTE = Route(
@@ -34,26 +34,30 @@
 )
 
 
-def _visit(begun_at: float | None, **fields: Any) -> Visit:
+def _context(begun_at: float | None, **fields: Any) -> RequestContext:
     exchange: Any = types.SimpleNamespace(started_at=begun_at, received_at=10)
     admitted: Any = types.SimpleNamespace(route=_ROUTE)
     call = cast('Any', None)
-    return Visit(exchange, call, admitted, 20, None, '', **fields)
+    return RequestContext(exchange, call, admitted, 20, None, '', **fields)
 
 
-def _sent(visit: Visit, waited_s: float, forecast_s: float, at: float) -> None:
-    note_send(visit, Grant(cast('Any', None), 'x', waited_s, forecast_s), at)
+def _sent(
+    context: RequestContext, waited_s: float, forecast_s: float, at: float
+) -> None:
+    record_send(
+        context, SlotGrant(cast('Any', None), 'x', waited_s, forecast_s), at
+    )
 
 
-def test_an_answer_that_began_in_time_is_not_late() -> None:
-    assert lateness(_visit(10 + _OBJECTIVE_S), 12) is None
+def test_response_that_started_in_time_is_not_late() -> None:
+    assert lateness(_context(10 + _OBJECTIVE_S), 12) is None
 
 
-def test_the_parts_of_the_way_add_up_to_it() -> None:
-    visit = _visit(11.5, since_first_s=0.4)
-    _sent(visit, 0.2, 0.1, 10.2)
-    _sent(visit, 0.3, 0.1, 11.0)
-    late = lateness(visit, 13)
+def test_parts_of_the_latency_add_up() -> None:
+    context = _context(11.5, since_first_s=0.4)
+    _sent(context, 0.2, 0.1, 10.2)
+    _sent(context, 0.3, 0.1, 11.0)
+    late = lateness(context, 13)
     assert late is not None
     assert late.late_ms == 1400
     assert late.since_first_ms == 400
@@ -62,20 +66,20 @@
     assert (late.first_ms, late.forecast_ms) == (500, 100)
 
 
-def test_what_was_held_begins_when_it_ends() -> None:
-    visit = _visit(None)
-    _sent(visit, 0, 0.1, 10)
-    late = lateness(visit, 11)
+def test_buffered_response_starts_when_it_ends() -> None:
+    context = _context(None)
+    _sent(context, 0, 0.1, 10)
+    late = lateness(context, 11)
     assert late is not None
     assert (late.late_ms, late.first_ms) == (500, 1000)
 
 
 @pytest.mark.parametrize('resumed', [False, True])
-def test_a_pause_alone_makes_late(*, resumed: bool) -> None:
+def test_pause_alone_makes_a_response_late(*, resumed: bool) -> None:
     name = 'resumed_pause_s' if resumed else 'pause_s'
-    visit = _visit(10.1, **{name: 0.3})
-    _sent(visit, 0, 0.1, 10)
-    late = lateness(visit, 13)
+    context = _context(10.1, **{name: 0.3})
+    _sent(context, 0, 0.1, 10)
+    late = lateness(context, 13)
     assert late is not None
     assert (late.late_ms, late.pause_ms, late.pause_aim_ms) == (0, 300, 250)
     assert late.is_resumed is resumed
@@ -88,7 +92,7 @@
     st.floats(0, 10_000, width=32),
     st.integers(0, 6000),
 )
-def test_an_outlook_is_told_to_other_instances(
+def test_forecast_survives_encoding_and_decoding(
     retry_s: float,
     ahead: int,
     wait_s: float,
@@ -96,12 +100,14 @@
     free: int,
 ) -> None:
     message = peers_pb2.GiveUp()
-    told = GivenUp('one/1', retry_s, Outlook(ahead, wait_s, rate, free))
-    fill_give_up(message, told)
+    original = RejectDecision(
+        'one/1', retry_s, RejectionForecast(ahead, wait_s, rate, free)
+    )
+    encode_give_up(message, original)
     sent = message.SerializeToString()
-    heard = decode_give_up(peers_pb2.GiveUp.FromString(sent))
-    assert heard.key == told.key
-    assert heard.retry_after_s == pytest.approx(retry_s, abs=0.001)
-    outlook = heard.outlook
-    assert (outlook.ahead, outlook.rate, outlook.free) == (ahead, rate, free)
-    assert outlook.wait_s == pytest.approx(min(wait_s, 3600), abs=0.001)
+    decoded = decode_give_up(peers_pb2.GiveUp.FromString(sent))
+    assert decoded.key == original.key
+    assert decoded.retry_after_s == pytest.approx(retry_s, abs=0.001)
+    forecast = decoded.forecast
+    assert (forecast.ahead, forecast.rate, forecast.free) == (ahead, rate, free)
+    assert forecast.wait_s == pytest.approx(min(wait_s, 3600), abs=0.001)
--- a/tests/platform/test_leavers.py
+++ b/tests/platform/test_leavers.py
@@ -1,9 +1,9 @@
-"""Upstreams that said themselves that they leave, and their entries."""
+"""Upstreams that announce their shutdown, and their entries in the store."""
 
 import random
 
 from tallyhall_dispatch.desired import Upstream
-from tallyhall_dispatch.leavers import Leavers
+from tallyhall_dispatch.leaving_upstreams import LeavingUpstreams
 from tallyhall_edge.scheduling import Dispatcher
 
 _MANY = 5000
@@ -15,33 +15,33 @@
     )
 
 
-def test_it_is_said_once() -> None:
-    leavers = Leavers()
+def test_announcement_is_new_only_once() -> None:
+    leavers = LeavingUpstreams()
     assert leavers.add('u')
     assert not leavers.add('u')
-    assert leavers.marked(_upstream('u')).leaving
-    assert not leavers.marked(_upstream('v')).leaving
+    assert leavers.mark_leaving(_upstream('u')).leaving
+    assert not leavers.mark_leaving(_upstream('v')).leaving
 
 
-def test_another_start_has_said_nothing() -> None:
-    leavers = Leavers()
+def test_announcement_does_not_apply_to_another_incarnation() -> None:
+    leavers = LeavingUpstreams()
     leavers.add(_upstream('u', 1).incarnation)
-    assert not leavers.marked(_upstream('u', 2)).leaving
+    assert not leavers.mark_leaving(_upstream('u', 2)).leaving
 
 
-def test_room_is_bounded_and_the_newest_are_kept() -> None:
-    leavers = Leavers()
+def test_size_is_bounded_and_the_newest_are_kept() -> None:
+    leavers = LeavingUpstreams()
     for number in range(_MANY):
         leavers.add(f'u{number}')
     assert f'u{_MANY - 1}' in leavers
     assert 'u0' not in leavers
 
 
-async def test_entries_take_nothing_back() -> None:
+async def test_entries_do_not_revoke_an_announcement() -> None:
     dispatcher = Dispatcher(random.Random(1))
-    dispatcher.take_upstreams((_upstream('u'),))
+    dispatcher.apply_upstreams((_upstream('u'),))
     assert dispatcher.is_usable('u')
-    assert dispatcher.leaves('u')
+    assert dispatcher.mark_leaving('u')
     for entries in ((), (_upstream('u'),)):
-        dispatcher.take_upstreams(entries)
+        dispatcher.apply_upstreams(entries)
         assert not dispatcher.is_usable('u')
--- a/tests/platform/test_use_news.py
+++ b/tests/platform/test_use_refresh.py
@@ -1,4 +1,4 @@
-"""Nobody is refused for a use of others that is old news."""
+"""No request is refused because of outdated use reports."""
 
 import asyncio
 import collections
@@ -8,11 +8,11 @@
 from tallyhall_core.refusals import Reason, Refusal
 from tallyhall_dispatch.gate import OverQuotaError
 from tallyhall_dispatch.quota import Quotas
-from tallyhall_dispatch.quota_limits import Fleet, QuotaBounds
-from tallyhall_entry.use_news import UseNews
+from tallyhall_dispatch.quota_limits import FleetView, QuotaBounds
+from tallyhall_entry.use_refresh import UseRefresher
 from tallyhall_transport.generated import peers_pb2
-from tallyhall_transport.peer import Peer, PeerPlace
-from tallyhall_transport.peers import PeerLinks
+from tallyhall_transport.peer import Peer, PeerEndpoint
+from tallyhall_transport.peer_streams import PeerStreams
 
 from tests.platform.harness import PLAIN, deployment
 
@@ -22,11 +22,11 @@
 
 
 def _ignore(*_: object) -> None:
-    """Take anything."""
+    """Accept and ignore any arguments."""
 
 
 class _Asker:
-    """An instance that asks hubs, which answer after a while or never."""
+    """An instance that queries hubs, which answer after a delay or never."""
 
     def __init__(self, instances: int, answer_s: float) -> None:
         self.asked = collections.Counter[str]()
@@ -35,24 +35,30 @@
         self._instances = instances
         self._loop = asyncio.get_running_loop()
         self._asked_at = float('inf')
-        links = PeerLinks('n0', 'n0', _ignore, _ignore, _ignore, _ignore)
+        peer_streams = PeerStreams(
+            'n0', 'n0', _ignore, _ignore, _ignore, _ignore
+        )
         names = [f'n{number}' for number in range(1, instances)]
-        links.take_peers(dict.fromkeys(names, PeerPlace('127.0.0.1:1', 1)))
-        peers = cast(dict[str, Peer], links.peers)
+        peer_streams.update_peers(
+            dict.fromkeys(names, PeerEndpoint('127.0.0.1:1', 1))
+        )
+        peers = cast(dict[str, Peer], peer_streams.peers)
         peers.update({name: Peer(name) for name in _HUBS})
-        links.outgoing = self._outgoing  # type: ignore[method-assign]
-        self.news = UseNews(links, self.quotas, self._take_known)
-        self.news.look(_HUBS)
+        peer_streams.next_batch = self._outgoing  # type: ignore[method-assign]
+        self.refresher = UseRefresher(
+            peer_streams, self.quotas, self._take_known
+        )
+        self.refresher.poll(_HUBS)
         self.knows(self._loop.time() - 1)
 
     def knows(self, known_at: float) -> None:
-        """Take until when others know what was admitted."""
-        fleet = Fleet(self._instances, 1, known_at, known_at)
-        self.quotas.take_fleet(fleet)
+        """Set the time up to which others know the admissions."""
+        fleet = FleetView(self._instances, 1, known_at, known_at)
+        self.quotas.apply_fleet(fleet)
 
     def _outgoing(self, name: str, *, urgent: bool) -> None:
         batch = peers_pb2.Batch()
-        self.news.fill(Peer(name), batch)
+        self.refresher.fill(Peer(name), batch)
         self.asked[name] += batch.answer_now and urgent
         self._asked_at = self._loop.time()
 
@@ -61,32 +67,32 @@
             self.knows(self._asked_at)
 
 
-async def test_requests_wait_together_for_one_answer_of_each_hub() -> None:
+async def test_concurrent_requests_share_one_query_per_hub() -> None:
     asker = _Asker(_MANY, 0.03)
     began_at = asyncio.get_running_loop().time()
-    answers = [asker.news.ask() for _ in range(5)]
+    answers = [asker.refresher.refresh() for _ in range(5)]
     assert await asyncio.gather(*answers) == [True] * 5
     assert asyncio.get_running_loop().time() - began_at < 0.1
     assert asker.asked == dict.fromkeys(_HUBS, 1)
-    # What is known now is as new as another answer would be.
-    assert not await asker.news.ask()
+    # The known use is now as recent as another answer would be.
+    assert not await asker.refresher.refresh()
 
 
-async def test_silent_hubs_hold_a_request_for_a_tenth_of_a_second() -> None:
+async def test_silent_hubs_delay_a_request_for_a_tenth_of_a_second() -> None:
     asker = _Asker(_MANY, 60)
     began_at = asyncio.get_running_loop().time()
-    assert await asker.news.ask()
+    assert await asker.refresher.refresh()
     assert 0.09 < asyncio.get_running_loop().time() - began_at < 0.3
 
 
-async def test_a_mesh_knows_what_it_knows() -> None:
+async def test_full_mesh_sends_no_queries() -> None:
     asker = _Asker(7, 0)
-    assert not await asker.news.ask()
+    assert not await asker.refresher.refresh()
     assert not asker.asked
 
 
-async def test_a_request_is_decided_again_by_what_was_heard() -> None:
-    """And refused if that does not help, or if nothing newer is known."""
+async def test_request_is_decided_again_after_a_refresh() -> None:
+    """It is refused if it still does not fit, or if there is no newer data."""
     async with deployment() as made:
         await made.add_engine('plain-0', PLAIN)
         await made.ready()
@@ -98,7 +104,7 @@
             10,
         )
         entered = mock.Mock(
-            wraps=runner._enter,  # noqa: SLF001
+            wraps=runner._admit,  # noqa: SLF001
             side_effect=[
                 refused,
                 mock.DEFAULT,
@@ -110,8 +116,8 @@
         )
         asked = mock.AsyncMock(side_effect=[True, False, True])
         with (
-            mock.patch.object(runner, '_enter', entered),
-            mock.patch.object(runner, 'ask_use', asked),
+            mock.patch.object(runner, '_admit', entered),
+            mock.patch.object(runner, 'refresh_quota_use', asked),
         ):
             assert (await made.caller().ask('/safe/x', 'r1')).status == 200
             assert (await made.caller().ask('/safe/x', 'r2')).status == 429
--- a/tests/platform/test_waiting.py
+++ b/tests/platform/test_waiting.py
@@ -1,4 +1,4 @@
-"""The order of waiting jobs, against a plain list."""
+"""The order of queued jobs, compared with a sorted list."""
 
 import functools
 
@@ -15,9 +15,11 @@
 )
 
 
-def _job(number: int, urgency: int, due_at: float, *, spare: bool) -> Job:
+def _job(number: int, urgency: int, due_at: float, *, over_quota: bool) -> Job:
     key = f'{"ab"[number % 2]}/{number}'
-    return Job(key, 's', 'a', urgency, 1, 1, 0, due_at, 99, spare=spare)
+    return Job(
+        key, 's', 'a', urgency, 1, 1, 0, due_at, 99, over_quota=over_quota
+    )
 
 
 def _is_late(moment: float, job: Job) -> bool:
@@ -31,16 +33,16 @@
 
 
 @given(_actions)
-def test_jobs_come_by_due_time_and_none_is_lost(
+def test_jobs_are_ordered_by_deadline_and_none_is_lost(
     actions: list[tuple[str, int, int]],
 ) -> None:
-    """Jobs due before a moment that only grows are late."""
+    """Jobs due before a time that only increases are late."""
     waiting = WaitingJobs()
     model: dict[str, Job] = {}
     late_before: float = 0
     for number, (action, urgency, amount) in enumerate(actions):
         if action == 'a':
-            job = _job(number, urgency, amount, spare=not amount % 7)
+            job = _job(number, urgency, amount, over_quota=not amount % 7)
             waiting.add(job)
             model[job.key] = job
         elif action == 'r' and model:
@@ -48,12 +50,12 @@
             waiting.remove(key)
             model.pop(key)
         elif action == 'd':
-            waiting.remove_all('a/')
+            waiting.remove_prefix('a/')
             model = {key: job for key, job in model.items() if key[0] != 'a'}
         elif action == 'l':
             late_before = max(late_before, amount)
         moment = late_before
-        waiting.set_late_aside(functools.partial(_is_late, moment))
+        waiting.defer_late(functools.partial(_is_late, moment))
         assert len(waiting) == len(model)
         for late in (False, True):
             expected = sorted(
@@ -61,7 +63,7 @@
                     job
                     for job in model.values()
                     if job.urgency == urgency
-                    and late == (job.spare or job.due_at < moment)
+                    and late == (job.over_quota or job.due_at < moment)
                 ),
                 key=lambda job: job.due_at,
             )
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -1,11 +1,11 @@
-"""Orders to engines: only what differs, only with number or lease."""
+"""Orders to engines, their fencing numbers and the leases of services."""
 
 import freezegun
 from tallyhall_core.messages import MemberEntry, SharedValue
 from tallyhall_daemon.orders import LEASE_S, ServiceLease
 from tallyhall_membership import assignment as assignments
 from tallyhall_membership.shared import ASSIGNMENT, INSTANCES, TABLE
-from tallyhall_node import instances as lists
+from tallyhall_node import instances as instance_lists
 from tallyhall_node.node import Node
 from tallyhall_node.settings import NodeSettings
 from tallyhall_sources.errors import UnavailableError
@@ -14,24 +14,24 @@
 
 
 class LeaseKv:
-    """Leases of a key-value service whose clock the test moves."""
+    """Leases of a key-value store with a clock that the test controls."""
 
     def __init__(self) -> None:
-        """Start without leases."""
+        """Initialize without leases."""
         self.now: float = 0
         self.is_down = False
         self._until: dict[str, float] = {}
         self._keys: dict[str, str] = {}
 
     def grant_lease(self, ttl_s: int) -> str:
-        """Grant."""
+        """Grant a lease."""
         self._check()
         lease = str(len(self._until))
         self._until[lease] = self.now + ttl_s
         return lease
 
-    def swap_leased(self, key: str, content: bytes, lease: str) -> bool:
-        """Create the key if its lease has run out."""
+    def create_with_lease(self, key: str, content: bytes, lease: str) -> bool:
+        """Create the key if its current lease has expired."""
         self._check()
         holder = self._keys.get(key)
         if holder is not None and self._until[holder] > self.now:
@@ -39,8 +39,8 @@
         self._keys[key] = lease
         return True
 
-    def keep_lease(self, lease: str) -> bool:
-        """Renew if it stands."""
+    def renew_lease(self, lease: str) -> bool:
+        """Renew the lease if it has not expired."""
         self._check()
         if self._until[lease] <= self.now:
             return False
@@ -70,12 +70,16 @@
     table = table.model_copy(update={'services': (service,)})
     owners = {build.SERVICE: assignments.Tenure(node.view.me, 7)}
     upstreams = tuple(
-        lists.ListedUpstream(build.SERVICE, name, f'{name}:1', leaving=False)
+        instance_lists.ListedUpstream(
+            build.SERVICE, name, f'{name}:1', leaving=False
+        )
         for name in ('engine-0', 'engine-1')
     )
     texts = {
         TABLE: table.model_dump_json(),
-        INSTANCES: lists.encode(lists.InstanceList(upstreams)),
+        INSTANCES: instance_lists.encode(
+            instance_lists.InstanceList(upstreams)
+        ),
         ASSIGNMENT: assignments.encode(assignments.Assignment(7, owners)),
     }
     for name, text in texts.items():
@@ -83,18 +87,18 @@
     return node
 
 
-def test_only_engines_with_another_model_are_ordered() -> None:
+def test_only_engines_with_wrong_model_receive_orders() -> None:
     node = _node()
-    assert not node.orders_due(1)
-    node.controller.on_model('engine-0', 'ledger-1')
-    node.controller.on_model('engine-1', 'ledger-2')
-    orders = node.orders_due(2)
+    assert not node.due_orders(1)
+    node.controller.on_model_report('engine-0', 'ledger-1')
+    node.controller.on_model_report('engine-1', 'ledger-2')
+    orders = node.due_orders(2)
     assert [(one.upstream, one.fencing) for one in orders] == [('engine-0', 7)]
-    assert not node.orders_due(3)
-    assert node.orders_due(8)
+    assert not node.due_orders(3)
+    assert node.due_orders(8)
 
 
-def test_a_new_controller_waits_out_the_old_lease() -> None:
+def test_new_controller_waits_for_old_lease_to_expire() -> None:
     kv = LeaseKv()
     with freezegun.freeze_time('2026-01-01') as clock:
         old = ServiceLease(kv, 'ledger', 'entry-1')  # type: ignore[arg-type]
@@ -104,13 +108,13 @@
         for _ in range(LEASE_S):
             clock.tick(1)
             kv.now += 1
-        # The old one, paused until now, knows by itself that it has ended.
+        # The old holder, paused until now, detects the expiry by itself.
         assert not old.is_held
         assert new.ensure()
         assert not old.ensure()
 
 
-def test_a_lease_outlives_an_outage_only_for_its_time() -> None:
+def test_lease_survives_outage_until_it_expires() -> None:
     kv = LeaseKv()
     with freezegun.freeze_time('2026-01-01') as clock:
         lease = ServiceLease(kv, 'ledger', 'entry-1')  # type: ignore[arg-type]
