--- a/packages/daemon/src/tallyhall_daemon/command_experiment.py
+++ b/packages/daemon/src/tallyhall_daemon/command_experiment.py
@@ -23,7 +23,6 @@
 _WORKERS = 2
 # The figures that decide; the others explain them.
 _GAINED = ('benefit', 'windows', 'worst_kind', 'refused_again')
-_ALL_ON = 'all on'
 
 
 class ExperimentCommand(OperatorCommand):
--- a/packages/entry/src/tallyhall_entry/logs.py
+++ b/packages/entry/src/tallyhall_entry/logs.py
@@ -21,8 +21,6 @@
 # logged completely.
 _BYTES_PER_S = 60_000
 _BURST_BYTES = 240_000
-# Interval between log events that report dropped lines, in seconds.
-_REPORT_S = 5.0
 
 
 class _RateLimit:
